--- a/src/members/applyListing.ts
+++ b/src/members/applyListing.ts
@@ -2,19 +2,19 @@
 import type { Member } from "./members";
 
 /**
- * Marks the members whose instance is listed, and leaves out those that `absent` names and that were listed before.
- * Gives the same array where nothing changes. The list lags: a new entry may not be listed yet, and is never left out
- * for that.
+ * Marks the members whose instance is in the listing, and removes the members in `absent` that were listed before.
+ * Returns the same array if nothing changes. The listing lags: a new entry may not be listed yet and is not removed for
+ * that reason.
  */
 export function applyListing(
     members: readonly Member[],
     listing: ReadonlyMap<string, InstanceStatus>,
     absent: ReadonlySet<string>,
 ): readonly Member[] {
-    const kept = members.filter((member) => !(member.listed && absent.has(member.boot)));
-    const marked = kept.map((member) =>
+    const remaining = members.filter((member) => !(member.listed && absent.has(member.boot)));
+    const marked = remaining.map((member) =>
         !member.listed && listing.has(member.instance) ? { ...member, listed: true } : member
     );
-    const isSame = marked.length === members.length && marked.every((member, at) => member === members[at]);
-    return isSame ? members : marked;
+    const isUnchanged = marked.length === members.length && marked.every((member, at) => member === members[at]);
+    return isUnchanged ? members : marked;
 }
--- a/src/members/createInstanceList.ts
+++ b/src/members/createInstanceList.ts
@@ -6,7 +6,7 @@
 export interface InstanceListOptions {
     readonly platform: Platform;
     readonly peers: Peers;
-    /** How often the list is read in one zone, in milliseconds. */
+    /** Interval at which each zone reads the list, in milliseconds. */
     readonly listMs: number;
     /** Called after this entry has read the list itself. */
     readonly onRead: (listing: Listing) => Promise<void>;
@@ -15,7 +15,7 @@
 
 export type Listing = ReadonlyMap<string, InstanceStatus>;
 
-/** The platform's list, read by one entry of each zone and told to the others there. */
+/** The platform's instance list: one entry of each zone reads it and sends the changes to the other entries there. */
 export interface InstanceList {
     current(): Listing | undefined;
     ageMs(): number | undefined;
@@ -25,41 +25,43 @@
 
 const topic = "members/list";
 
-/** Bytes a second that reading the list may take on average; a long list is read more seldom. */
+/** Average bandwidth for reading the list, in bytes per second; a long list is read less often. */
 const listBytesPerSecond = 2000;
+/** Estimated size of one item of the list, in bytes. */
 const bytesPerListing = 60;
 
 const status = z.enum(["live", "leaving"]);
-const newsSchema = z.object({
-    /** Digest of the list before and after these changes. */
+const changesSchema = z.object({
+    /** Digests of the list before and after these changes. */
     before: z.string().max(64),
     after: z.string().max(64),
     ageMs: z.number().nonnegative(),
     changed: z.array(z.tuple([z.string().max(256), z.union([status, z.literal("absent")])])).max(100_000),
 });
-const fullSchema = z.object({
+const fullListSchema = z.object({
     ageMs: z.number().nonnegative(),
     listing: z.array(z.tuple([z.string().max(256), status])).max(100_000),
 });
 
-const requestMs = 2000;
+/** Timeout of a request for the full list, in milliseconds. */
+const requestTimeoutMs = 2000;
 
 export function createInstanceList(opts: InstanceListOptions): InstanceList {
     const { peers } = opts;
-    const ownWeight = weigh(peers.self.boot);
+    const ownHash = hashBoot(peers.self.boot);
     let listing: Listing | undefined;
     let digest = "";
-    let askedAtMs = 0;
+    let requestedAtMs = 0;
     let timer: NodeJS.Timeout | undefined;
     let isReading = false;
 
-    function zonePeers() {
+    function findZonePeers() {
         return peers.connected().filter(({ zone }) => zone === peers.self.zone);
     }
 
-    /** Position of this entry among those of its zone that could read the list; the first one reads it. */
+    /** Position of this entry among the connected entries of its zone; the first one reads the list. */
     function rank(): number {
-        return zonePeers().filter(({ boot }) => weigh(boot) < ownWeight).length;
+        return findZonePeers().filter(({ boot }) => hashBoot(boot) < ownHash).length;
     }
 
     function intervalMs(): number {
@@ -67,18 +69,18 @@
         return Math.max(opts.listMs, bytes / listBytesPerSecond * 1000);
     }
 
-    function adopt(next: Listing, asked: number): void {
+    function applyList(next: Listing, sentAtMs: number): void {
         const nextDigest = digestOf(next);
         const isChanged = listing === undefined || nextDigest !== digest;
-        [listing, digest, askedAtMs] = [next, nextDigest, asked];
+        [listing, digest, requestedAtMs] = [next, nextDigest, sentAtMs];
         if (isChanged) {
             opts.onChange();
         }
     }
 
-    async function tick(): Promise<void> {
+    async function readIfDue(): Promise<void> {
         const dueMs = intervalMs() * (1 + rank() / 2);
-        if (isReading || listing !== undefined && Date.now() - askedAtMs < dueMs) {
+        if (isReading || listing !== undefined && Date.now() - requestedAtMs < dueMs) {
             return;
         }
         isReading = true;
@@ -87,7 +89,7 @@
     }
 
     async function read(): Promise<void> {
-        const asked = Date.now();
+        const sentAtMs = Date.now();
         const answer = await opts.platform.listInstances();
         if (answer.isLeft()) {
             return;
@@ -95,46 +97,46 @@
         const next = new Map(answer.orDefault([]).map((each) => [each.instance, each.status]));
         const changed = differences(listing ?? new Map(), next);
         const before = digest;
-        adopt(next, asked);
-        const body = { before, after: digest, ageMs: Date.now() - asked, changed };
-        zonePeers().forEach(({ boot }) => peers.send(boot, topic, body));
+        applyList(next, sentAtMs);
+        const body = { before, after: digest, ageMs: Date.now() - sentAtMs, changed };
+        findZonePeers().forEach(({ boot }) => peers.send(boot, topic, body));
         await opts.onRead(next);
     }
 
-    async function hear(from: string, body: unknown): Promise<void> {
-        const news = newsSchema.safeParse(body).data;
-        if (news === undefined) {
+    async function handleUpdate(from: string, body: unknown): Promise<void> {
+        const changes = changesSchema.safeParse(body).data;
+        if (changes === undefined) {
             return;
         }
-        const asked = Date.now() - news.ageMs;
-        if (news.before === digest && listing !== undefined) {
+        const sentAtMs = Date.now() - changes.ageMs;
+        if (changes.before === digest && listing !== undefined) {
             const next = new Map(listing);
-            news.changed.forEach(([name, now]) => now === "absent" ? next.delete(name) : next.set(name, now));
-            adopt(next, asked);
+            changes.changed.forEach(([name, now]) => now === "absent" ? next.delete(name) : next.set(name, now));
+            applyList(next, sentAtMs);
             return;
         }
-        if (news.after === digest) {
-            askedAtMs = asked;
+        if (changes.after === digest) {
+            requestedAtMs = sentAtMs;
             return;
         }
-        const answer = await peers.request(from, topic, {}, requestMs);
+        const answer = await peers.request(from, topic, {}, requestTimeoutMs);
         answer.ifRight((full) => {
-            const parsed = fullSchema.safeParse(full).data;
+            const parsed = fullListSchema.safeParse(full).data;
             if (parsed !== undefined) {
-                adopt(new Map(parsed.listing), Date.now() - parsed.ageMs);
+                applyList(new Map(parsed.listing), Date.now() - parsed.ageMs);
             }
         });
     }
 
-    peers.onMessage(topic, (from, body) => void hear(from.boot, body));
-    peers.onRequest(topic, () => Promise.resolve({ ageMs: Date.now() - askedAtMs, listing: [...listing ?? []] }));
+    peers.onMessage(topic, (from, body) => void handleUpdate(from.boot, body));
+    peers.onRequest(topic, () => Promise.resolve({ ageMs: Date.now() - requestedAtMs, listing: [...listing ?? []] }));
 
     return {
         current: () => listing,
-        ageMs: () => listing === undefined ? undefined : Date.now() - askedAtMs,
+        ageMs: () => listing === undefined ? undefined : Date.now() - requestedAtMs,
         start() {
-            timer = setInterval(() => void tick(), Math.max(1, opts.listMs / 5));
-            void tick();
+            timer = setInterval(() => void readIfDue(), Math.max(1, opts.listMs / 5));
+            void readIfDue();
         },
         stop() {
             clearInterval(timer);
@@ -153,6 +155,6 @@
     return createHash("sha256").update(lines.join("\n")).digest("hex").slice(0, 16);
 }
 
-function weigh(boot: string): string {
+function hashBoot(boot: string): string {
     return createHash("sha256").update(boot).digest("hex");
 }
--- a/src/members/createMembers.ts
+++ b/src/members/createMembers.ts
@@ -11,38 +11,38 @@
     readonly platform: Platform;
     readonly watcher: Watcher;
     readonly peers: Peers;
-    /** How long to wait after the platform failed, in milliseconds. */
+    /** Retry delay after the platform failed, in milliseconds. */
     readonly retryMs: number;
-    /** How often one entry of each zone reads the platform's instance list, in milliseconds. */
+    /** Interval at which one entry of each zone reads the platform's instance list, in milliseconds. */
     readonly listMs?: number;
-    /** Addresses known from the settings, used besides the record. */
+    /** Peer addresses from the settings, used in addition to those in the record. */
     readonly seedUrls?: readonly string[];
     readonly report?: Reporter;
-    /** From 0 up to 1, for the jitter of retries; tests give a seeded one. */
+    /** Returns a number from 0 up to 1, for the jitter of retries. Tests pass a seeded source. */
     readonly random?: () => number;
 }
 
 const defaultListMs = 3000;
 
-/** Tries to read the list before this boot enters the record without having seen it. */
-const maxListTries = 5;
+/** Attempts to read the instance list before this boot enters the record without it. */
+const maxListAttempts = 5;
 
-/** Tries to leave the record at a planned stop. */
-const maxLeaveTries = 10;
+/** Attempts to leave the record at a clean shutdown. */
+const maxLeaveAttempts = 10;
 
-/** Keeps this boot in the record and the links to all others. */
+/** Keeps this boot in the membership record and gives the addresses of all members to the peer links. */
 export function createMembers(opts: MembersOptions): Members {
     const { self } = opts.peers;
     const report: Reporter = opts.report ?? (() => {});
     const listeners = new Set<() => void>();
-    const everRecorded = new Set<string>();
-    /** How many lists in a row lacked the instance of a boot that had been listed. */
+    const knownBoots = new Set<string>();
+    /** Number of consecutive lists without the instance of a boot that had been listed. */
     const absences = new Map<string, number>();
     let record: MemberRecord | undefined;
     let isRunning = false;
     let isEntered = false;
 
-    const list = createInstanceList({
+    const instanceList = createInstanceList({
         platform: opts.platform,
         peers: opts.peers,
         listMs: opts.listMs ?? defaultListMs,
@@ -51,7 +51,7 @@
     });
 
     opts.peers.setAddresses(opts.seedUrls ?? []);
-    opts.watcher.follow(membersKey, adoptStored, () => {
+    opts.watcher.follow(membersKey, applyStored, () => {
         report({ kind: "platformWentBack", key: membersKey });
         void restore();
     });
@@ -60,35 +60,35 @@
         listeners.forEach((listener) => listener());
     }
 
-    function adoptStored(stored: StoredValue): void {
+    function applyStored(stored: StoredValue): void {
         const next = parseRecord(stored);
         if (next === undefined) {
             report({ kind: "valueRefused", key: membersKey, detail: "malformed or of another version" });
             return;
         }
-        adopt(next);
+        applyRecord(next);
     }
 
-    /** An older record is refused: the boots that it lacks would count as gone while they serve. */
-    function adopt(next: MemberRecord): void {
+    /** Ignores an older record: boots missing from it would count as ended while they are running. */
+    function applyRecord(next: MemberRecord): void {
         if (record !== undefined && next.serial <= record.serial) {
             return;
         }
         record = next;
-        forgetLongGone();
-        const isSelfIn = next.members.some(({ boot }) => boot === self.boot);
-        if (isEntered && isRunning && !isSelfIn) {
+        pruneEndedBoots();
+        const isSelfRecorded = next.members.some(({ boot }) => boot === self.boot);
+        if (isEntered && isRunning && !isSelfRecorded) {
             report({ kind: "removedFromRecord", boot: self.boot });
         }
-        isEntered = isSelfIn;
+        isEntered = isSelfRecorded;
         opts.peers.setAddresses([...new Set([...opts.seedUrls ?? [], ...next.members.map(({ peerUrl }) => peerUrl)])]);
         notify();
     }
 
-    function forgetLongGone(): void {
-        record?.members.forEach(({ boot }) => everRecorded.add(boot));
-        const surplus = Math.max(0, everRecorded.size - maxRememberedBoots);
-        [...everRecorded].filter(isAbsent).slice(0, surplus).forEach((boot) => everRecorded.delete(boot));
+    function pruneEndedBoots(): void {
+        record?.members.forEach(({ boot }) => knownBoots.add(boot));
+        const surplus = Math.max(0, knownBoots.size - maxKnownBoots);
+        [...knownBoots].filter(isAbsent).slice(0, surplus).forEach((boot) => knownBoots.delete(boot));
     }
 
     function isAbsent(boot: string): boolean {
@@ -96,10 +96,13 @@
     }
 
     /**
-     * Gives false where it has to be tried again. With `isProof`, it writes even where nothing changes: a read may
-     * come from a stale replica, a compare-and-swap cannot.
+     * Edits the record by compare-and-swap; returns false if the caller has to retry. With `isWriteForced`, it writes
+     * even if nothing changes: a read may come from a stale replica, a compare-and-swap cannot.
      */
-    async function change(edit: (current: readonly Member[]) => readonly Member[], isProof = false): Promise<boolean> {
+    async function updateRecord(
+        edit: (current: readonly Member[]) => readonly Member[],
+        isWriteForced = false,
+    ): Promise<boolean> {
         const read = await opts.platform.read(membersKey);
         const stored = read.orDefault(undefined);
         const found = parseRecord(stored);
@@ -108,9 +111,9 @@
         }
         const isOlder = record !== undefined && found.serial < record.serial;
         const current = isOlder ? record ?? emptyRecord : found;
-        adopt(current);
+        applyRecord(current);
         const members = edit(current.members);
-        if (members === current.members && !isOlder && !isProof) {
+        if (members === current.members && !isOlder && !isWriteForced) {
             return true;
         }
         const next = { serial: current.serial + 1, members };
@@ -118,32 +121,35 @@
         const written = await opts.platform.compareAndSwap(membersKey, stored?.revision ?? 0, text);
         written.ifRight((revision) => {
             opts.watcher.rewind(membersKey, revision);
-            adopt(next);
+            applyRecord(next);
         });
         return written.isRight();
     }
 
-    /** Writes the newer record that this entry knows over an older one that the platform went back to. */
+    /** Overwrites an older record, to which the platform was rolled back, with the newer one that this entry knows. */
     async function restore(): Promise<void> {
-        while (isRunning && !(await change((current) => current))) {
-            await pauseAtRandom();
+        while (isRunning && !(await updateRecord((current) => current))) {
+            await pauseWithJitter();
         }
     }
 
-    /** Without the look at the list, an instance taken away before a reader has seen it would stay for good. */
-    async function enter(): Promise<void> {
-        for (let tries = 0; isRunning; tries++) {
-            const list = await opts.platform.listInstances();
-            const listed = list.orDefault([]).some(({ instance }) => instance === self.instance);
-            const mayEnter = list.isRight() || tries >= maxListTries;
-            if (mayEnter && await change((current) => addMember(current, { ...self, listed }))) {
+    /**
+     * Reads the instance list before it adds this boot to the record. Otherwise an instance that was removed before any
+     * entry saw it in the list would stay in the record forever.
+     */
+    async function addSelf(): Promise<void> {
+        for (let attempts = 0; isRunning; attempts++) {
+            const answer = await opts.platform.listInstances();
+            const listed = answer.orDefault([]).some(({ instance }) => instance === self.instance);
+            const mayEnter = answer.isRight() || attempts >= maxListAttempts;
+            if (mayEnter && await updateRecord((current) => addMember(current, { ...self, listed }))) {
                 return;
             }
-            await pauseAtRandom();
+            await pauseWithJitter();
         }
     }
 
-    async function pauseAtRandom(): Promise<void> {
+    async function pauseWithJitter(): Promise<void> {
         await pause(opts.retryMs * (0.5 + (opts.random ?? Math.random)()));
     }
 
@@ -157,35 +163,35 @@
         [...absences.keys()].filter(isAbsent).forEach((boot) => absences.delete(boot));
         const absent = new Set([...absences].filter(([, times]) => times >= 2).map(([boot]) => boot));
         if (applyListing(record.members, listing, absent) !== record.members) {
-            await change((current) => applyListing(current, listing, absent));
+            await updateRecord((current) => applyListing(current, listing, absent));
         }
     }
 
     return {
         recorded: () => record?.members,
-        isGone: (boot) => everRecorded.has(boot) && isAbsent(boot),
+        isGone: (boot) => knownBoots.has(boot) && isAbsent(boot),
         async proveGone(boots) {
-            const isProved = await change((current) => current, true);
-            return isProved ? new Set(boots.filter(isAbsent)) : undefined;
+            const isConfirmed = await updateRecord((current) => current, true);
+            return isConfirmed ? new Set(boots.filter(isAbsent)) : undefined;
         },
         async refresh() {
             const read = await opts.platform.read(membersKey);
             const found = parseRecord(read.orDefault(undefined));
             if (found !== undefined && read.isRight()) {
-                adopt(found);
+                applyRecord(found);
             }
             return read.isRight();
         },
-        instances: list.current,
-        instancesAgeMs: list.ageMs,
+        instances: instanceList.current,
+        instancesAgeMs: instanceList.ageMs,
         onChange(listener) {
             listeners.add(listener);
             return () => listeners.delete(listener);
         },
         start() {
             isRunning = true;
-            void enter();
-            list.start();
+            void addSelf();
+            instanceList.start();
         },
         entered: (waitMs) =>
             new Promise((resolve) => {
@@ -205,22 +211,32 @@
             }),
         async stop() {
             isRunning = false;
-            list.stop();
-            for (let tries = 0; tries < maxLeaveTries; tries++) {
-                if (await change((current) => withoutBoot(current, self.boot))) {
+            instanceList.stop();
+            for (let attempts = 0; attempts < maxLeaveAttempts; attempts++) {
+                if (await updateRecord((current) => withoutBoot(current, self.boot))) {
                     return;
                 }
-                await pauseAtRandom();
+                await pauseWithJitter();
             }
-            report({ kind: "note", slice: "members", message: "this boot could not be taken out of the record" });
+            report({
+                kind: "note",
+                slice: "members",
+                message: "could not remove this boot from the membership record",
+            });
         },
     };
 }
 
-/** Boots remembered as gone; a daemon that runs for months would otherwise keep every boot there ever was. */
-const maxRememberedBoots = 4096;
+/**
+ * Most boots kept in memory; above it, ended ones are forgotten. Without a limit, a daemon that runs for months would
+ * keep every boot it ever saw.
+ */
+const maxKnownBoots = 4096;
 
-/** The same instance at the same address: this process could bind it only because the older one has ended. */
+/**
+ * Adds a member and replaces an older boot of the same instance at the same address. This process could bind the
+ * address only because the older one has ended.
+ */
 function addMember(current: readonly Member[], own: Member): readonly Member[] {
     const isReplaced = (member: Member) => member.instance === own.instance && member.peerUrl === own.peerUrl;
     return current.some(({ boot }) => boot === own.boot)
--- a/src/members/memberRecord.ts
+++ b/src/members/memberRecord.ts
@@ -2,12 +2,12 @@
 import type { StoredValue } from "../platform";
 import type { Member } from "./members";
 
-/** Key of the record of entries in the platform's service; followed keys share a prefix, and so one watch. */
+/** Store key of the membership record. Watched keys share a prefix, so that one watch covers them all. */
 export const membersKey = "samphirepin/followed/entries";
 
 /** The value under `membersKey`. */
 export interface MemberRecord {
-    /** Grows with each write, also over a platform that went back to an older value. */
+    /** Increases with each write, also after the platform was restored to an older value. */
     readonly serial: number;
     readonly members: readonly Member[];
 }
@@ -26,7 +26,7 @@
     })).max(10_000),
 });
 
-/** Reads the stored record; gives `undefined` where it is malformed or of another version. */
+/** Parses the stored record; returns `undefined` if it is malformed or of another version. */
 export function parseRecord(stored: StoredValue | undefined): MemberRecord | undefined {
     if (stored === undefined || stored.text === "") {
         return emptyRecord;
--- a/src/members/members.ts
+++ b/src/members/members.ts
@@ -1,41 +1,43 @@
 import type { Peer } from "../peers";
 import type { InstanceStatus } from "../platform";
 
-/** One boot in the record of entries. */
+/** One boot of an entry in the membership record. */
 export interface Member extends Peer {
-    /** True once the platform's list was seen to have the instance while this boot was in the record. */
+    /** True once the instance was seen in the platform's instance list while this boot was in the record. */
     readonly listed: boolean;
 }
 
-/** Entries as the platform's service records them, and instances as the platform lists them. */
+/** The membership record in the platform's store, and the platform's instance list. */
 export interface Members {
-    /** The newest record known; `undefined` until one is. */
+    /** Members of the newest record known; `undefined` until a record was read. */
     recorded(): readonly Member[] | undefined;
     /**
-     * True where the boot was in the record and no longer is: its process has ended. A silent boot is not gone.
-     * It was replaced by a newer boot that took the same instance's address, or the instance list lost its instance,
-     * or it stopped in an orderly way.
+     * True if the boot was in the record and no longer is, which proves that its process has ended. A boot that is only
+     * unreachable does not count as ended. A boot leaves the record when a newer boot of the same instance binds its
+     * address, when its instance leaves the instance list, or when it shuts down cleanly.
      */
     isGone(boot: string): boolean;
     /**
-     * Gives those of the boots that are not in the record, after a write that shows the record to be the newest. They
-     * are gone where each entered the record before it wrote the value that names it. Serves an entry that started
-     * after a boot had ended, for which `isGone` stays false. One read and one write of the platform; `undefined` where
-     * it did not answer or somebody else wrote meanwhile.
+     * Returns the given boots that are not in the record, after a write that proves the record to be the newest. These
+     * boots have ended, provided that each one entered the record before it wrote the value that names it. This covers
+     * boots that had ended before this entry started: `hasEnded` stays false for them. Costs one read and one write of
+     * the platform. Returns `undefined` if the platform did not answer or another entry wrote in between.
      */
     proveGone(boots: readonly string[]): Promise<ReadonlySet<string> | undefined>;
-    /** Reads the record now; gives false where the platform did not answer. */
+    /** Reads the record now; returns false if the platform did not answer. */
     refresh(): Promise<boolean>;
-    /** The platform's list as last heard: an instance that is not in it is absent. `undefined` until one was heard. */
+    /** The latest instance list received: instances not in it are absent. `undefined` until a list was received. */
     instances(): ReadonlyMap<string, InstanceStatus> | undefined;
-    /** How old the list is, in milliseconds since it was asked for; `undefined` until one was heard. */
+    /** Age of the instance list, in milliseconds since it was requested; `undefined` until a list was received. */
     instancesAgeMs(): number | undefined;
-    /** Calls the listener after each change of the record or of the list; returns what ends it. */
+    /**
+     * Calls the listener after each change of the record or of the instance list; returns the function to unsubscribe.
+     */
     onChange(listener: () => void): () => void;
-    /** Enters this boot into the record, again and again until that succeeds. */
+    /** Adds this boot to the record, with retries until it succeeds. */
     start(): void;
-    /** Waits until this boot is in the record; gives false where it is not after that time. */
+    /** Waits until this boot is in the record; resolves to false if it is not after `waitMs`. */
     entered(waitMs: number): Promise<boolean>;
-    /** Takes this boot out of the record. */
+    /** Removes this boot from the record. */
     stop(): Promise<void>;
 }
--- a/src/members/test/members.steps.ts
+++ b/src/members/test/members.steps.ts
@@ -46,12 +46,12 @@
     return entry;
 }
 
-function entryOf(world: World, name: string): Entry {
+function findEntry(world: World, name: string): Entry {
     return world.entries.get(name) ?? assert.fail(`no entry ${name}`);
 }
 
 function kill(world: World, name: string): void {
-    const { boot } = entryOf(world, name);
+    const { boot } = findEntry(world, name);
     world.network.remove(boot);
     world.platform.cutOff.add(boot);
 }
@@ -75,18 +75,18 @@
 });
 
 When("{string} is frozen for {int} s", async function(this: World, name: string, seconds: number) {
-    const { boot } = entryOf(this, name);
+    const { boot } = findEntry(this, name);
     this.network.frozen.add(boot);
     this.platform.cutOff.add(boot);
     await this.clock.tickAsync(seconds * 1000);
 });
 
-When("{string} is killed and its instance leaves the list", function(this: World, name: string) {
+When("{string} is killed and its instance leaves the instance list", function(this: World, name: string) {
     kill(this, name);
     this.platform.instances.delete(name);
 });
 
-When("{string} is killed and starts again at its address", async function(this: World, name: string) {
+When("{string} is killed and restarts at its address", async function(this: World, name: string) {
     kill(this, name);
     await startEntry(this, name, 2);
 });
@@ -95,15 +95,15 @@
     await startEntry(this, name);
 });
 
-When("one answer of the list lacks {string}", async function(this: World, name: string) {
+When("one answer of the instance list lacks {string}", async function(this: World, name: string) {
     this.platform.instances.delete(name);
     await this.clock.tickAsync(10_500);
     this.platform.instances.set(name, "live");
 });
 
-When("{string} stops in an orderly way while another writer races it", async function(this: World, name: string) {
+When("{string} shuts down while another writer changes the record", async function(this: World, name: string) {
     const stored = this.platform.values.get(key)!;
-    const stopped = entryOf(this, name).members.stop();
+    const stopped = findEntry(this, name).members.stop();
     this.clock.setTimeout(() => this.platform.values.set(key, { ...stored, revision: stored.revision + 1 }), 2);
     await this.clock.tickAsync(2000);
     await stopped;
@@ -111,7 +111,7 @@
 });
 
 When(
-    "entry {string} starts and the platform goes back to the record before",
+    "entry {string} starts and the platform is restored to the record before",
     async function(this: World, name: string) {
         const before = this.platform.values.get(key)!;
         await startEntry(this, name);
@@ -127,7 +127,7 @@
     for (const text of values) {
         const revision = this.platform.values.get(key)!.revision + 1;
         this.platform.values.set(key, { text, revision });
-        entryOf(this, "a").watcher.learn(key, { text, revision });
+        findEntry(this, "a").watcher.learn(key, { text, revision });
     }
     await this.clock.tickAsync(60_000);
 });
@@ -136,19 +136,19 @@
     await this.clock.tickAsync(seconds * 1000);
 });
 
-Then("{string} is gone at {string}", function(this: World, gone: string, at: string) {
-    assert.equal(entryOf(this, at).members.isGone(entryOf(this, gone).boot), true);
+Then("{string} has ended according to {string}", function(this: World, ended: string, at: string) {
+    assert.equal(findEntry(this, at).members.isGone(findEntry(this, ended).boot), true);
 });
 
-Then("{string} is not gone at {string}", function(this: World, gone: string, at: string) {
-    const { members } = entryOf(this, at);
-    assert.equal(members.isGone(entryOf(this, gone).boot), false);
-    assert.ok(members.recorded()?.some(({ instance }) => instance === gone));
+Then("{string} has not ended according to {string}", function(this: World, ended: string, at: string) {
+    const { members } = findEntry(this, at);
+    assert.equal(members.isGone(findEntry(this, ended).boot), false);
+    assert.ok(members.recorded()?.some(({ instance }) => instance === ended));
 });
 
-Then("the earlier boot of {string} is gone at {string}", function(this: World, name: string, at: string) {
-    assert.equal(entryOf(this, at).members.isGone(`${name}-1`), true);
-    assert.equal(entryOf(this, at).members.isGone(`${name}-2`), false);
+Then("the earlier boot of {string} has ended according to {string}", function(this: World, name: string, at: string) {
+    assert.equal(findEntry(this, at).members.isGone(`${name}-1`), true);
+    assert.equal(findEntry(this, at).members.isGone(`${name}-2`), false);
 });
 
 Then("the platform's record holds {string}", function(this: World, names: string) {
@@ -157,20 +157,20 @@
 });
 
 Then(
-    "{string} can prove {string} gone, and not {string}",
+    "{string} can prove that {string} has ended, and not that {string} has",
     async function(this: World, at: string, a: string, b: string) {
-        const proving = entryOf(this, at).members.proveGone([`${a}-1`, `${b}-1`]);
+        const proof = findEntry(this, at).members.proveGone([`${a}-1`, `${b}-1`]);
         await this.clock.tickAsync(1000);
-        assert.deepEqual([...await proving ?? []], [`${a}-1`]);
+        assert.deepEqual([...await proof ?? []], [`${a}-1`]);
     },
 );
 
-Then("the list was read between {int} and {int} times", function(this: World, least: number, most: number) {
+Then("the instance list was read between {int} and {int} times", function(this: World, least: number, most: number) {
     const { list } = this.platform.calls;
     assert.ok(list >= least && list <= most, `read ${list} times`);
 });
 
-Then("every entry knows the listed instances", function(this: World) {
+Then("every entry has the listed instances", function(this: World) {
     for (const { members } of this.entries.values()) {
         assert.deepEqual([...members.instances()!.keys()].sort(), [...this.platform.instances.keys()].sort());
     }
--- a/src/peers/createLink.ts
+++ b/src/peers/createLink.ts
@@ -3,29 +3,30 @@
 import { type Frame, frameSchema } from "./messages";
 import type { Peer } from "./peers";
 
-/** Largest frame taken from a link. */
+/** Largest frame accepted from a link, in bytes. */
 export const maxFrameBytes = 2 * 1024 * 1024;
 
-/** Bytes that may wait for a peer that reads slowly; above, the link is given up and its memory with it. */
+/** Most bytes buffered for a peer that reads slowly; above it, the link is terminated to free the memory. */
 const maxBufferedBytes = 8 * 1024 * 1024;
 
-/** Bytes of all links together, as frames; headers of TCP and below are not counted. */
+/** Traffic of all links together, in frames and their bytes; headers of TCP and lower layers are not counted. */
 export interface Traffic {
     sentBytes: number;
     receivedBytes: number;
     sentFrames: number;
 }
 
-/** One WebSocket with the peer at its other end. */
+/** A WebSocket connection to a peer. */
 export interface Link {
     readonly socket: WebSocket;
+    /** `undefined` until the peer's hello frame. */
     peer: Peer | undefined;
     readonly openedAtMs: number;
     heardAtMs: number;
     sentAtMs: number;
-    /** Gives false where the frame did not leave: the link is closed, or its peer reads too slowly. */
+    /** Returns false if the frame was not sent: the link is not open, or its peer reads too slowly. */
     write(frame: Frame): boolean;
-    /** Gives `undefined` where the bytes are not a frame. */
+    /** Returns `undefined` if the bytes are not a valid frame. */
     parse(data: RawData): Frame | undefined;
 }
 
--- a/src/peers/createPeers.ts
+++ b/src/peers/createPeers.ts
@@ -6,7 +6,7 @@
 import type { Frame } from "./messages";
 import type { Peer, PeerFailure, Peers } from "./peers";
 
-/** Certificate, its key and the authority of all entries, as PEM texts. */
+/** Certificate, its private key, and the CA certificate shared by all entries, in PEM format. */
 export interface PeerCertificates {
     readonly cert: string;
     readonly key: string;
@@ -17,43 +17,45 @@
     readonly self: Peer;
     readonly host: string;
     readonly port: number;
-    /** How often an idle link is used, in milliseconds. */
+    /** Interval of heartbeats on an idle link, in milliseconds. */
     readonly heartbeatMs: number;
-    /** A peer not heard from for this long counts as silent, in milliseconds. */
+    /** A peer from which nothing was received for this long counts as silent, in milliseconds. */
     readonly silenceMs: number;
-    /** With certificates, both ends prove themselves; without, links are plain. */
+    /** With certificates, links use mutual TLS; without, they are plain text. */
     readonly certificates?: PeerCertificates;
     readonly report?: Reporter;
 }
 
-/** Links kept at once; further ones are refused. */
+/** Most open links; further connections are refused. */
 const maxLinks = 1024;
 
-/** Requests that may wait for an answer at once. */
-const maxWaiting = 10_000;
+/** Most requests waiting for an answer. */
+const maxPendingRequests = 10_000;
 
-/** A link that this entry made and wants no more is closed after this many heartbeats: it may be wanted again soon. */
+/**
+ * Heartbeats after which this entry closes a link that it dialed and no longer wants; it may want the link again soon.
+ */
 const unwantedHeartbeats = 20;
 
-/** How long a link may take to close by itself at a planned stop, in milliseconds. */
-const closeMs = 500;
+/** How long links may take to close at a clean shutdown before they are terminated, in milliseconds. */
+const closeTimeoutMs = 500;
 
-interface Waiting {
+interface PendingRequest {
     readonly link: Link;
     settle(answer: Either<PeerFailure, unknown>): void;
 }
 
-/** Keeps one link to each known entry over WebSocket. */
+/** Keeps one WebSocket link to each entry whose address is set. */
 export function createPeers(opts: PeersOptions): Peers {
     const { self } = opts;
     const traffic: Traffic = { sentBytes: 0, receivedBytes: 0, sentFrames: 0 };
     const links = new Set<Link>();
     const messageHandlers = new Map<string, (from: Peer, body: unknown) => void>();
     const requestHandlers = new Map<string, (from: Peer, body: unknown) => Promise<unknown>>();
-    const waiting = new Map<number, Waiting>();
+    const pendingRequests = new Map<number, PendingRequest>();
     const dialing = new Set<string>();
-    const unreachedSince = new Map<string, number>();
-    /** Addresses of the links that this entry made, and since when it does not want them. */
+    const unreachedSinceMs = new Map<string, number>();
+    /** Links that this entry dialed, with their addresses and the time since when they are unwanted. */
     const dialed = new Map<Link, { readonly url: string; unwantedSinceMs: number | undefined; }>();
     let addresses: readonly string[] = [];
     let nextId = 1;
@@ -61,65 +63,65 @@
     let secureServer: Server | undefined;
     let timer: NodeJS.Timeout | undefined;
 
-    function isHeard(link: Link): boolean {
+    function isAlive(link: Link): boolean {
         return Date.now() - link.heardAtMs < opts.silenceMs;
     }
 
     function findLink(boot: string): Link | undefined {
-        return [...links].find((link) => link.peer?.boot === boot && isHeard(link));
+        return [...links].find((link) => link.peer?.boot === boot && isAlive(link));
     }
 
-    function adoptSocket(socket: WebSocket): Link {
+    function registerSocket(socket: WebSocket): Link {
         const link = createLink(socket, traffic);
         links.add(link);
         socket.on("message", (data) => {
             const frame = link.parse(data);
             if (frame === undefined) {
-                note("a frame that cannot be read", link);
+                reportNote("received an invalid frame", link);
                 socket.terminate();
                 return;
             }
             link.heardAtMs = Date.now();
-            handle(link, frame);
+            handleFrame(link, frame);
         });
         socket.on("error", () => socket.terminate());
-        socket.on("close", () => drop(link));
+        socket.on("close", () => removeLink(link));
         return link;
     }
 
-    function note(message: string, link: Link, detail = ""): void {
-        const from = link.peer?.instance ?? "an entry that has not said its name";
+    function reportNote(message: string, link: Link, detail = ""): void {
+        const from = link.peer?.instance ?? "a peer that has not sent its hello frame";
         opts.report?.({ kind: "note", slice: "peers", message: `${message} from ${from}`, detail });
     }
 
-    function drop(link: Link): void {
+    function removeLink(link: Link): void {
         links.delete(link);
         dialed.delete(link);
-        for (const [id, entry] of waiting) {
+        for (const [id, entry] of pendingRequests) {
             if (entry.link === link) {
-                settle(id, Left({ kind: "unknown", detail: "the link broke" }));
+                settle(id, Left({ kind: "unknown", detail: "the link was closed" }));
             }
         }
     }
 
     function settle(id: number, result: Either<PeerFailure, unknown>): void {
-        const entry = waiting.get(id);
-        waiting.delete(id);
+        const entry = pendingRequests.get(id);
+        pendingRequests.delete(id);
         entry?.settle(result);
     }
 
-    function handle(link: Link, frame: Frame): void {
+    function handleFrame(link: Link, frame: Frame): void {
         switch (frame.kind) {
             case "hello":
-                greet(link, frame.peer);
+                handleHello(link, frame.peer);
                 return;
             case "heartbeat":
                 return;
             case "message":
-                deliver(link, frame.topic, frame.body);
+                handleMessage(link, frame.topic, frame.body);
                 return;
             case "request":
-                void answer(link, frame);
+                void handleRequest(link, frame);
                 return;
             case "answer":
                 settleFrom(link, frame.id, Right(frame.body));
@@ -130,8 +132,8 @@
         }
     }
 
-    /** A link keeps the name it first gave: requests that wait on it were meant for that boot. */
-    function greet(link: Link, peer: Peer): void {
+    /** A peer must not change its boot on a link: requests that wait on the link were meant for the first one. */
+    function handleHello(link: Link, peer: Peer): void {
         const isOther = link.peer !== undefined && link.peer.boot !== peer.boot;
         if (isOther || peer.boot === self.boot) {
             link.socket.terminate();
@@ -140,15 +142,15 @@
         link.peer = peer;
     }
 
-    /** Only the entry that was asked may answer. */
+    /** Accepts an answer only from the link on which the request was sent. */
     function settleFrom(link: Link, id: number, result: Either<PeerFailure, unknown>): void {
-        if (waiting.get(id)?.link === link) {
+        if (pendingRequests.get(id)?.link === link) {
             settle(id, result);
         }
     }
 
-    /** A fault in one slice's handler must not end the process or the link. */
-    function deliver(link: Link, topic: string, body: unknown): void {
+    /** An error in one module's handler must not end the process or the link. */
+    function handleMessage(link: Link, topic: string, body: unknown): void {
         if (link.peer === undefined) {
             return;
         }
@@ -156,14 +158,14 @@
             messageHandlers.get(topic)?.(link.peer, body);
         }
         catch (error) {
-            note(`the handler of ${topic} failed on a message`, link, String(error));
+            reportNote(`the handler of topic ${topic} failed on a message`, link, String(error));
         }
     }
 
-    async function answer(link: Link, { id, topic, body }: Extract<Frame, { kind: "request"; }>): Promise<void> {
+    async function handleRequest(link: Link, { id, topic, body }: Extract<Frame, { kind: "request"; }>): Promise<void> {
         const handler = requestHandlers.get(topic);
         if (handler === undefined || link.peer === undefined) {
-            link.write({ kind: "failure", id, detail: `there is no handler of ${topic.slice(0, 64)}` });
+            link.write({ kind: "failure", id, detail: `no handler for topic ${topic.slice(0, 64)}` });
             return;
         }
         try {
@@ -171,7 +173,7 @@
             link.write({ kind: "answer", id, body: given });
         }
         catch (error) {
-            note(`the handler of ${topic} failed on a request`, link, String(error));
+            reportNote(`the handler of topic ${topic} failed on a request`, link, String(error));
             link.write({ kind: "failure", id, detail: "the handler failed" });
         }
     }
@@ -183,7 +185,7 @@
             maxPayload: maxFrameBytes,
             ...opts.certificates ?? {},
         });
-        const link = adoptSocket(socket);
+        const link = registerSocket(socket);
         dialed.set(link, { url, unwantedSinceMs: undefined });
         socket.on("open", () => link.write({ kind: "hello", peer: self }));
         socket.on("close", () => dialing.delete(url));
@@ -192,8 +194,8 @@
     function tick(): void {
         const now = Date.now();
         for (const link of links) {
-            const isNameless = link.peer === undefined && now - link.openedAtMs > opts.silenceMs;
-            if (isNameless || now - link.heardAtMs > opts.silenceMs * 2) {
+            const isHelloOverdue = link.peer === undefined && now - link.openedAtMs > opts.silenceMs;
+            if (isHelloOverdue || now - link.heardAtMs > opts.silenceMs * 2) {
                 link.socket.terminate();
             }
             if (now - link.sentAtMs >= opts.heartbeatMs / 2) {
@@ -201,15 +203,18 @@
             }
         }
         closeUnwanted(now);
-        dialUnreached(now);
+        dialMissing(now);
     }
 
-    /** If the other end wants the link still, it makes one of its own. */
+    /** Closes unwanted links. A peer that still wants the link dials a new one. */
     function closeUnwanted(now: number): void {
-        for (const [link, made] of dialed) {
-            made.unwantedSinceMs = addresses.includes(made.url) ? undefined : made.unwantedSinceMs ?? now;
+        for (const [link, dialedLink] of dialed) {
+            dialedLink.unwantedSinceMs = addresses.includes(dialedLink.url)
+                ? undefined
+                : dialedLink.unwantedSinceMs ?? now;
             if (
-                made.unwantedSinceMs !== undefined && now - made.unwantedSinceMs > unwantedHeartbeats * opts.heartbeatMs
+                dialedLink.unwantedSinceMs !== undefined
+                && now - dialedLink.unwantedSinceMs > unwantedHeartbeats * opts.heartbeatMs
             ) {
                 link.socket.close(1000);
             }
@@ -217,24 +222,25 @@
     }
 
     /**
-     * Of two entries, the one with the lower address dials, so that they do not end with two links. The other dials
-     * too after a while: the first may not know of it yet, or may not get through in its direction.
+     * Dials wanted addresses without a link. Of two entries, the one with the lower address dials, so that they do not
+     * end up with two links. The other one dials after a delay: the first one may not know its address yet, or may be
+     * unable to connect in its direction.
      */
-    function dialUnreached(now: number): void {
+    function dialMissing(now: number): void {
         const reached = new Set([...links].map((link) => link.peer?.peerUrl));
         for (const url of addresses) {
             if (url === self.peerUrl || dialing.has(url) || reached.has(url)) {
-                unreachedSince.delete(url);
+                unreachedSinceMs.delete(url);
                 continue;
             }
-            const since = unreachedSince.get(url) ?? now;
-            unreachedSince.set(url, since);
+            const since = unreachedSinceMs.get(url) ?? now;
+            unreachedSinceMs.set(url, since);
             if (self.peerUrl < url || now - since >= opts.silenceMs / 2) {
                 dial(url);
             }
         }
-        [...unreachedSince.keys()].filter((url) => !addresses.includes(url)).forEach((url) =>
-            unreachedSince.delete(url)
+        [...unreachedSinceMs.keys()].filter((url) => !addresses.includes(url)).forEach((url) =>
+            unreachedSinceMs.delete(url)
         );
     }
 
@@ -243,7 +249,7 @@
             socket.terminate();
             return;
         }
-        adoptSocket(socket).write({ kind: "hello", peer: self });
+        registerSocket(socket).write({ kind: "hello", peer: self });
     }
 
     async function listen(): Promise<void> {
@@ -251,8 +257,8 @@
         secureServer = certificates === undefined
             ? undefined
             : createServer({ ...certificates, requestCert: true, rejectUnauthorized: true });
-        const where = secureServer === undefined ? { host, port } : { server: secureServer };
-        const listening = new WebSocketServer({ ...where, maxPayload: maxFrameBytes });
+        const listenOptions = secureServer === undefined ? { host, port } : { server: secureServer };
+        const listening = new WebSocketServer({ ...listenOptions, maxPayload: maxFrameBytes });
         server = listening;
         listening.on("connection", accept);
         await new Promise<void>((resolve, reject) => {
@@ -266,8 +272,8 @@
     return {
         self,
         connected() {
-            const named = [...links].filter((link) => link.peer !== undefined && isHeard(link));
-            return [...new Map(named.map(({ peer }) => [peer?.boot, peer as Peer])).values()];
+            const identified = [...links].filter((link) => link.peer !== undefined && isAlive(link));
+            return [...new Map(identified.map(({ peer }) => [peer?.boot, peer as Peer])).values()];
         },
         send: (boot, topic, body) => findLink(boot)?.write({ kind: "message", topic, body }) ?? false,
         broadcast(topic, body) {
@@ -278,9 +284,9 @@
         request(boot, topic, body, timeoutMs) {
             const link = findLink(boot);
             const id = nextId++;
-            const isFull = waiting.size >= maxWaiting;
+            const isFull = pendingRequests.size >= maxPendingRequests;
             if (link === undefined || isFull || !link.write({ kind: "request", id, topic, body })) {
-                const detail = isFull ? "too many requests wait for answers" : "there is no link";
+                const detail = isFull ? "too many requests are waiting for answers" : "there is no link";
                 return Promise.resolve(Left({ kind: "notSent", detail }));
             }
             return new Promise((resolve) => {
@@ -288,7 +294,7 @@
                     () => settle(id, Left({ kind: "unknown", detail: "no answer in time" })),
                     timeoutMs,
                 );
-                waiting.set(id, {
+                pendingRequests.set(id, {
                     link,
                     settle(result) {
                         clearTimeout(timeout);
@@ -315,7 +321,7 @@
         async stop() {
             clearInterval(timer);
             links.forEach((link) => link.socket.close(1001));
-            const closing = setTimeout(() => links.forEach((link) => link.socket.terminate()), closeMs);
+            const closing = setTimeout(() => links.forEach((link) => link.socket.terminate()), closeTimeoutMs);
             await new Promise((resolve) => server === undefined ? resolve(undefined) : server.close(resolve));
             await new Promise((resolve) =>
                 secureServer === undefined ? resolve(undefined) : secureServer.close(resolve)
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -1,29 +1,29 @@
 import type { Either } from "purify-ts";
 
-/** One run of one entry process. */
+/** One boot of an entry, that is, one run of its process. */
 export interface Peer {
-    /** Made at start; never used again. */
+    /** Unique ID of this run, generated at start and never reused. */
     readonly boot: string;
     /** The instance's name in the platform's list. */
     readonly instance: string;
     readonly region: string;
     readonly zone: string;
-    /** Address for links, such as `ws://127.0.0.1:7101`. */
+    /** WebSocket address for links, such as `ws://127.0.0.1:7101`. */
     readonly peerUrl: string;
 }
 
 /**
  * Why a request to a peer has no answer.
  *
- * - `notSent`: there was no link; the peer will never see the request.
- * - `unknown`: it was sent, and the link broke or the time ran out.
+ * - `notSent`: the request was not sent, for example because there is no link; the peer will never receive it.
+ * - `unknown`: the request was sent, but the link was closed, the peer reported a failure, or the timeout passed.
  */
 export interface PeerFailure {
     readonly kind: "notSent" | "unknown";
     readonly detail: string;
 }
 
-/** Frames on the links of this entry; headers of TCP and below are not counted. */
+/** Frames on the links of this entry and their bytes; headers of TCP and lower layers are not counted. */
 export interface PeerTraffic {
     readonly sentBytes: number;
     readonly receivedBytes: number;
@@ -33,17 +33,17 @@
 
 export interface Peers {
     readonly self: Peer;
-    /** Peers heard from lately over a link. */
+    /** Peers from which something was received recently on a link. */
     connected(): readonly Peer[];
-    /** Sends without an answer; gives false where there is no link. */
+    /** Sends a message that has no answer; returns false if it could not be sent. */
     send(boot: string, topic: string, body: unknown): boolean;
     broadcast(topic: string, body: unknown): void;
     request(boot: string, topic: string, body: unknown, timeoutMs: number): Promise<Either<PeerFailure, unknown>>;
     onMessage(topic: string, handler: (from: Peer, body: unknown) => void): void;
     onRequest(topic: string, handler: (from: Peer, body: unknown) => Promise<unknown>): void;
-    /** Tells where other entries may be reached; links are made and kept. */
+    /** Sets the addresses of the entries to keep links to. */
     setAddresses(peerUrls: readonly string[]): void;
-    /** Bytes and frames of all links since the start, and how many links there are; for metrics. */
+    /** Bytes and frames of all links since the start, and the number of open links; for metrics. */
     traffic?(): PeerTraffic;
     start(): Promise<void>;
     stop(): Promise<void>;
--- a/src/peers/test/peers.steps.ts
+++ b/src/peers/test/peers.steps.ts
@@ -14,7 +14,7 @@
     entries: Peers[];
     answer: Either<PeerFailure, unknown>;
     waitedMs: number;
-    refused: number;
+    refusedSends: number;
     fleet: readonly Peer[];
     links: ReadonlyMap<string, readonly string[]>;
 }
@@ -67,7 +67,7 @@
     world.waitedMs = Date.now() - startedAtMs;
 }
 
-/** A link of nobody's; resolves once it is open. */
+/** Opens a connection that does not belong to any entry; resolves once it is open. */
 async function openLink(peers: Peers): Promise<WebSocket> {
     const socket = new WebSocket(peers.self.peerUrl);
     socket.on("error", () => {});
@@ -85,20 +85,20 @@
     await startTwo(this, [one, other]);
 });
 
-When("a request and a message meet handlers that throw", async function(this: World) {
-    const fail = () => assert.fail("a fault in a handler");
+When("a request and a message are sent to handlers that throw", async function(this: World) {
+    const fail = () => assert.fail("error in a handler");
     this.entries[1]!.onMessage("fail", fail);
     this.entries[1]!.onRequest("fail", fail);
     assert.ok(this.entries[0]!.send("b", "fail", {}));
     await ask(this, "fail");
 });
 
-When("a request is sent on a topic that nobody handles", async function(this: World) {
+When("a request is sent on a topic without a handler", async function(this: World) {
     await ask(this, "nobody");
 });
 
 When(
-    "{int} hostile frames are sent to the first entry on links of their own",
+    "{int} invalid frames are sent to the first entry on separate links",
     async function(this: World, count: number) {
         const kinds = fc.constantFrom("hello", "heartbeat", "message", "request", "answer", "failure", "other");
         const frame = fc.record({
@@ -126,7 +126,7 @@
     },
 );
 
-/** Not every generated value can be packed; such a one is replaced by nothing. */
+/** Packs a generated value; returns no bytes if it cannot be packed. */
 function packSafely(value: unknown): Uint8Array {
     try {
         return packr.pack(value);
@@ -136,7 +136,7 @@
     }
 }
 
-When("a stranger on the link port answers requests that it was not asked", async function(this: World) {
+When("another process on the link port answers requests that were not sent to it", async function(this: World) {
     this.entries[1]!.onRequest("slow", async () => {
         await new Promise((resolve) => setTimeout(resolve, 300));
         return "true";
@@ -153,20 +153,20 @@
 });
 
 When("the second entry stops reading and {int} MB are sent to it", async function(this: World, megabytes: number) {
-    const dead = await openLink(this.entries[0]!);
+    const frozen = await openLink(this.entries[0]!);
     const peer = { boot: "d", instance: "d", region: "r", zone: "z", peerUrl: "ws://127.0.0.1:1" };
-    dead.send(packr.pack({ kind: "hello", peer }));
+    frozen.send(packr.pack({ kind: "hello", peer }));
     while (!this.entries[0]!.connected().some(({ boot }) => boot === "d")) {
         await new Promise((resolve) => setTimeout(resolve, 10));
     }
-    dead.pause();
-    this.refused = 0;
+    frozen.pause();
+    this.refusedSends = 0;
     const body = "x".repeat(512 * 1024);
     for (let sent = 0; sent < megabytes * 2; sent++) {
-        this.refused += this.entries[0]!.send("d", "bulk", body) ? 0 : 1;
+        this.refusedSends += this.entries[0]!.send("d", "bulk", body) ? 0 : 1;
     }
     this.waitedMs = (this.entries[0]!.traffic?.().sentBytes ?? Infinity) / 1024 / 1024;
-    dead.terminate();
+    frozen.terminate();
 });
 
 Then("the request is answered {string} within {int} ms", function(this: World, kind: string, ms: number) {
@@ -179,14 +179,17 @@
     assert.ok(this.answer.isRight());
 });
 
-Then("the waiting request is answered by the entry that was asked", function(this: World) {
+Then("the pending request is answered by the entry that it was sent to", function(this: World) {
     assert.equal(this.answer.orDefault("nothing"), "true");
 });
 
-Then("less than {int} MB of it wait here, and sending has been refused", function(this: World, megabytes: number) {
-    assert.ok(this.waitedMs < megabytes, `${this.waitedMs} MB were taken`);
-    assert.ok(this.refused > 0);
-});
+Then(
+    "less than {int} MB are accepted for sending, and some sends are refused",
+    function(this: World, megabytes: number) {
+        assert.ok(this.waitedMs < megabytes, `${this.waitedMs} MB were accepted`);
+        assert.ok(this.refusedSends > 0);
+    },
+);
 
 Then("each has {int} link", async function(this: World, count: number) {
     await new Promise((resolve) => setTimeout(resolve, 300));
@@ -202,7 +205,7 @@
     assert.ok(this.entries.every((peers) => peers.connected().length === 0));
 });
 
-When("neither wants the other any more", function(this: World) {
+When("neither entry wants the link any more", function(this: World) {
     this.entries.forEach((peers) => peers.setAddresses([]));
 });
 
@@ -215,7 +218,7 @@
     assert.equal(count(), 0);
 });
 
-Given("{int} entries of a fleet, one of them the owner", function(this: World, count: number) {
+Given("{int} entries of a fleet, one of them the leader", function(this: World, count: number) {
     const random = createRandom(count);
     const names = Array.from({ length: count }, () => random.int(0, 2 ** 30).toString(16));
     this.fleet = names.map((boot) => ({ boot, instance: boot, region: "r", zone: "z", peerUrl: `ws://${boot}` }));
@@ -226,7 +229,7 @@
     }));
 });
 
-Then("each entry links to the owner, and the owner to all", function(this: World) {
+Then("each entry links to the leader, and the leader to all", function(this: World) {
     const [owner, ...others] = this.fleet.map(({ boot }) => boot);
     assert.equal(this.links.get(owner ?? "")?.length, others.length);
     others.forEach((boot) => assert.ok(this.links.get(boot)?.includes(owner ?? "")));
@@ -236,18 +239,18 @@
     this.fleet.slice(1).forEach(({ boot }) => assert.ok((this.links.get(boot)?.length ?? 0) <= most));
 });
 
-Then("any two entries are joined over at most {int} links without the owner", function(this: World, most: number) {
+Then("any two entries are connected over at most {int} links without the leader", function(this: World, most: number) {
     const others = this.fleet.slice(1).map(({ boot }) => boot);
-    const joined = new Map(others.map((boot) => [boot, new Set<string>()]));
+    const neighbors = new Map(others.map((boot) => [boot, new Set<string>()]));
     for (const from of others) {
         for (const to of this.links.get(from) ?? []) {
-            joined.get(from)?.add(to);
-            joined.get(to)?.add(from);
+            neighbors.get(from)?.add(to);
+            neighbors.get(to)?.add(from);
         }
     }
     let reached = new Set(others.slice(0, 1));
     for (let hop = 0; hop < most; hop++) {
-        reached = new Set([...reached].flatMap((boot) => [boot, ...joined.get(boot) ?? []]));
+        reached = new Set([...reached].flatMap((boot) => [boot, ...neighbors.get(boot) ?? []]));
     }
     others.forEach((boot) => assert.ok(reached.has(boot), boot));
 });
--- a/src/platform/countCalls.ts
+++ b/src/platform/countCalls.ts
@@ -1,12 +1,15 @@
 import type { Either } from "purify-ts";
 import type { Platform } from "./platform";
 
-/** Told after each call with its result: `ok`, or the kind of the failure. */
+/** Called after each call with its result: `ok`, or the kind of the failure. */
 export type CallListener = (call: "read" | "write" | "watch" | "list", result: string) => void;
 
-/** The same platform, with every call told to the listener; the service counts each one, a waiting watch too. */
+/**
+ * Wraps a platform so that each call is reported to the listener. The platform bills each call, also a watch that
+ * waits.
+ */
 export function countCalls(platform: Platform, listener: CallListener): Platform {
-    async function counted<L extends { readonly kind: string; }, R>(
+    async function reportCall<L extends { readonly kind: string; }, R>(
         call: Parameters<CallListener>[0],
         answer: Promise<Either<L, R>>,
     ): Promise<Either<L, R>> {
@@ -16,11 +19,11 @@
     }
 
     return {
-        read: (key) => counted("read", platform.read(key)),
-        compareAndSwap: (...args) => counted("write", platform.compareAndSwap(...args)),
-        remove: (key) => counted("write", platform.remove(key)),
-        watch: (...args) => counted("watch", platform.watch(...args)),
-        listInstances: () => counted("list", platform.listInstances()),
+        read: (key) => reportCall("read", platform.read(key)),
+        compareAndSwap: (...args) => reportCall("write", platform.compareAndSwap(...args)),
+        remove: (key) => reportCall("write", platform.remove(key)),
+        watch: (...args) => reportCall("watch", platform.watch(...args)),
+        listInstances: () => reportCall("list", platform.listInstances()),
         close: () => platform.close(),
     };
 }
--- a/src/platform/createRegistration.ts
+++ b/src/platform/createRegistration.ts
@@ -1,7 +1,7 @@
 import type { Clocks } from "../clock";
 import type { Store } from "../store";
 
-/** Keys of the instances that are up, each under its own lease. */
+/** Prefix of the keys of running instances; each key has a lease of its own. */
 export const instancePrefix = "samphirepin/instances/";
 
 export interface RegistrationOptions {
@@ -10,8 +10,8 @@
     readonly boot: string;
     readonly clocks: Clocks;
     /**
-     * The lease has ended and could not be renewed: others may take this entry for gone, and with it what it holds. It
-     * must not serve any longer.
+     * Called when the lease may have expired and could not be renewed. Other entries may then consider this entry ended
+     * and take over what it holds, so it must stop serving.
      */
     onLapsed(): void;
 }
@@ -22,21 +22,21 @@
 }
 
 /**
- * Lease of an instance's entry in the list, in milliseconds: the longest that the store grants. An entry whose lease has
- * ended counts as gone, and others take over its share of the limits; a zone that is cut off serves on until then.
+ * Lease of an instance's key, in milliseconds; the longest that the store grants. An entry whose lease has expired
+ * counts as ended, and other entries take over its share of the limits. An isolated zone keeps serving until then.
  */
 const ttlMs = 600_000;
 
-/** The lease is renewed this often, in milliseconds; it outlasts nine lost renewals. */
+/** Interval of lease renewals, in milliseconds; the lease outlasts nine lost renewals. */
 const renewMs = 60_000;
 
-/** Pause after a call without an answer, in milliseconds. */
+/** Retry delay after a call without an answer, in milliseconds. */
 const retryMs = 1000;
 
-/** An entry stops this long before its lease may end at the store, in milliseconds. */
-const marginMs = 5000;
+/** Safety margin by which an entry stops before its lease may expire at the store, in milliseconds. */
+const expiryMarginMs = 5000;
 
-/** Keeps an instance in the platform's list of those that are up. */
+/** Keeps an instance in the platform's list of running instances. */
 export function createRegistration(opts: RegistrationOptions): Registration {
     const { store, clocks } = opts;
     const key = instancePrefix + opts.instance;
@@ -57,7 +57,7 @@
             return false;
         }
         lease = leased.lease;
-        validUntilMs = sentAtMs + leased.ttlMs - marginMs;
+        validUntilMs = sentAtMs + leased.ttlMs - expiryMarginMs;
         return true;
     }
 
@@ -68,13 +68,13 @@
         const sentAtMs = clocks.suspendAwareMs();
         const result = await store.renewLease(lease);
         if (result.kind === "leased") {
-            validUntilMs = sentAtMs + ttlMs - marginMs;
+            validUntilMs = sentAtMs + ttlMs - expiryMarginMs;
         }
         return result.kind === "leased";
     }
 
-    async function keep(): Promise<void> {
-        const isKept = await renew();
+    async function renewAndSchedule(): Promise<void> {
+        const isRenewed = await renew();
         if (isStopped) {
             return;
         }
@@ -82,11 +82,11 @@
             opts.onLapsed();
             return;
         }
-        timer = setTimeout(() => void keep(), isKept ? renewMs : retryMs);
+        timer = setTimeout(() => void renewAndSchedule(), isRenewed ? renewMs : retryMs);
     }
 
     return {
-        start: () => void keep(),
+        start: () => void renewAndSchedule(),
         async stop() {
             isStopped = true;
             clearTimeout(timer);
--- a/src/platform/createStorePlatform.ts
+++ b/src/platform/createStorePlatform.ts
@@ -5,41 +5,41 @@
 
 export interface StorePlatformOptions {
     readonly store: Store;
-    /** Largest value that the store takes, in bytes. */
+    /** Largest value that the store accepts, in bytes. */
     readonly maxValueBytes: number;
-    /** Releases the connections to the store. */
+    /** Closes the connections to the store. */
     close(): Promise<void>;
 }
 
 /**
- * What the parts of an entry need of the platform, over the platform's store.
+ * Implements the platform interface on top of the platform's store.
  *
- * All followed keys share one waiting watch, on the longest prefix that they have in common. What it tells is kept, so
- * that a key that is followed from an older revision on is answered at once.
+ * All watched keys share one long poll, on their longest common prefix. The values that it reports are cached, so that
+ * a watch of a key from an older revision on is answered at once.
  */
 export function createStorePlatform({ store, maxValueBytes, close }: StorePlatformOptions): Platform {
-    const latest = new Map<string, StoredValue>();
+    const cache = new Map<string, StoredValue>();
     let watched: { readonly prefix: string; revision: number; } | undefined;
 
-    function take({ key, text, revision }: StoreItem): void {
-        latest.set(key, { text, revision });
+    function cacheItem({ key, text, revision }: StoreItem): void {
+        cache.set(key, { text, revision });
     }
 
-    function newerThan(known: KnownRevisions): ReadonlyMap<string, StoredValue> {
+    function findNewer(known: KnownRevisions): ReadonlyMap<string, StoredValue> {
         return new Map([...known].flatMap(([key, revision]) => {
-            const stored = latest.get(key);
+            const stored = cache.get(key);
             return stored !== undefined && stored.revision > revision ? [[key, stored] as const] : [];
         }));
     }
 
-    /** Reads the prefix whole; later changes are told by a watch from there. */
+    /** Reads the whole prefix; a watch from the revision read then reports later changes. */
     async function readAll(prefix: string): Promise<PlatformFailure | undefined> {
         const result = await store.range(prefix);
         if (result.kind === "unavailable") {
             return result;
         }
-        latest.clear();
-        result.items.forEach(take);
+        cache.clear();
+        result.items.forEach(cacheItem);
         watched = { prefix, revision: result.revision };
         return undefined;
     }
@@ -49,7 +49,9 @@
         switch (result.kind) {
             case "events":
                 at.revision = result.revision;
-                result.events.forEach((event) => event.kind === "put" ? take(event.item) : latest.delete(event.key));
+                result.events.forEach((event) =>
+                    event.kind === "put" ? cacheItem(event.item) : cache.delete(event.key)
+                );
                 return undefined;
             case "compacted":
                 return readAll(at.prefix);
@@ -86,14 +88,14 @@
             const result = await store.commit({ conditions: [], puts: [], deletes: [key] });
             return result.kind === "committed"
                 ? Right(undefined)
-                : Left({ kind: "unavailable", detail: `the removal ended as ${result.kind}` });
+                : Left({ kind: "unavailable", detail: `removing the key failed: ${result.kind}` });
         },
         async watch(known, waitMs) {
             const prefix = commonPrefix([...known.keys()]);
             const failure = watched?.prefix === prefix
-                ? newerThan(known).size > 0 ? undefined : await waitForChange(watched, waitMs)
+                ? findNewer(known).size > 0 ? undefined : await waitForChange(watched, waitMs)
                 : await readAll(prefix);
-            return failure === undefined ? Right(newerThan(known)) : Left(failure);
+            return failure === undefined ? Right(findNewer(known)) : Left(failure);
         },
         async listInstances(): Promise<Either<PlatformFailure, readonly InstanceListing[]>> {
             const result = await store.range(instancePrefix);
--- a/src/platform/createWatcher.ts
+++ b/src/platform/createWatcher.ts
@@ -3,45 +3,51 @@
 
 export interface WatcherOptions {
     readonly platform: Platform;
-    /** How long one watch waits at the platform, in milliseconds. */
+    /** Long-poll duration of one watch, in milliseconds. */
     readonly watchMs: number;
-    /** How long to wait after the platform failed, in milliseconds. */
+    /** Retry delay after the platform failed, in milliseconds. */
     readonly retryMs: number;
-    /** How often one key is read to see that the platform has not gone back, in milliseconds. */
+    /** Interval at which one key is read to check that the platform was not rolled back, in milliseconds. */
     readonly verifyMs?: number;
 }
 
 export type StoredListener = (stored: StoredValue) => void;
 
-/** One waiting watch for all the keys that the parts of this daemon follow. */
+/** One long poll shared by all keys that modules of this daemon watch. */
 export interface Watcher {
     /**
-     * Calls the listener with each newer value; revisions of one key never go back.
-     * With `onRewound`, the key is also read now and then; that listener is called with the platform's value where
-     * the platform has gone back to an older one, and the key is followed from there.
+     * Calls the listener with each newer value; revisions of one key never decrease.
+     * With `onRolledBack`, the key is also read periodically. If the platform was rolled back to an older value, that
+     * listener is called with it, and the key is watched from its revision on.
      */
     follow(key: string, listener: StoredListener, onRewound?: StoredListener): void;
-    /** Takes in a value learnt in another way, such as this daemon's own write. */
+    /** Applies a value that was learned by other means, such as this daemon's own write. */
     learn(key: string, stored: StoredValue): void;
-    /** Follows the key from an older revision on; only after a write has proved that the platform is there. */
+    /**
+     * Watches the key from an older revision on. Only after a write has proved that the platform is at that revision.
+     */
     rewind(key: string, revision: number): void;
-    /** When the platform last answered, in milliseconds of this entry's clock; `undefined` where it never did. */
+    /**
+     * Time of the platform's last answer to a watch, in milliseconds of this entry's clock; `undefined` before the
+     * first.
+     */
     lastAnswerAtMs(): number | undefined;
     start(): void;
     stop(): void;
 }
 
+/** Default of `verifyMs`, in milliseconds. */
 const defaultVerifyMs = 30_000;
 
 export function createWatcher(opts: WatcherOptions): Watcher {
     const verifyMs = opts.verifyMs ?? defaultVerifyMs;
     const known = new Map<string, number>();
     const listeners = new Map<string, StoredListener[]>();
-    const rewoundListeners = new Map<string, StoredListener>();
-    const suspected = new Map<string, number>();
-    let answeredAtMs: number | undefined;
+    const rollbackListeners = new Map<string, StoredListener>();
+    const lowerReads = new Map<string, number>();
+    let lastAnsweredAtMs: number | undefined;
     let verifyTimer: NodeJS.Timeout | undefined;
-    let nextVerified = 0;
+    let nextKeyIndex = 0;
     let isRunning = false;
 
     function learn(key: string, stored: StoredValue): void {
@@ -55,7 +61,7 @@
         while (isRunning) {
             const answer = await opts.platform.watch(known, opts.watchMs);
             answer.ifRight((changes) => {
-                answeredAtMs = Date.now();
+                lastAnsweredAtMs = Date.now();
                 changes.forEach((stored, key) => learn(key, stored));
             });
             if (answer.isLeft()) {
@@ -65,30 +71,30 @@
     }
 
     /**
-     * A platform restored from a backup holds lower revisions than this entry knows, and the watch then stays silent
-     * until the key passes them: every change in between would be missed. A single low answer may come from a stale
-     * replica, so that two in a row are needed.
+     * Reads the next key to detect a rollback. A platform restored from a backup holds lower revisions than this entry
+     * knows. The watch then reports nothing until the key passes the known revision, and all changes before that are
+     * missed. A single lower revision may come from a stale replica, so two in a row are required.
      */
-    async function verifyOne(): Promise<void> {
-        const keys = [...rewoundListeners.keys()];
-        const key = keys[nextVerified++ % Math.max(1, keys.length)];
+    async function verifyNextKey(): Promise<void> {
+        const keys = [...rollbackListeners.keys()];
+        const key = keys[nextKeyIndex++ % Math.max(1, keys.length)];
         if (key === undefined) {
             return;
         }
         const answer = await opts.platform.read(key);
         const stored = answer.orDefault(undefined);
         if (answer.isLeft() || (stored?.revision ?? 0) >= (known.get(key) ?? 0)) {
-            suspected.delete(key);
+            lowerReads.delete(key);
             answer.ifRight((value) => value !== undefined && learn(key, value));
             return;
         }
-        const times = (suspected.get(key) ?? 0) + 1;
-        suspected.set(key, times);
-        if (times >= 2) {
-            suspected.delete(key);
-            const older = stored ?? { text: "", revision: 0 };
-            known.set(key, older.revision);
-            rewoundListeners.get(key)?.(older);
+        const count = (lowerReads.get(key) ?? 0) + 1;
+        lowerReads.set(key, count);
+        if (count >= 2) {
+            lowerReads.delete(key);
+            const rolledBack = stored ?? { text: "", revision: 0 };
+            known.set(key, rolledBack.revision);
+            rollbackListeners.get(key)?.(rolledBack);
         }
     }
 
@@ -97,18 +103,18 @@
             known.set(key, known.get(key) ?? 0);
             listeners.set(key, [...listeners.get(key) ?? [], listener]);
             if (onRewound !== undefined) {
-                rewoundListeners.set(key, onRewound);
+                rollbackListeners.set(key, onRewound);
             }
         },
         learn,
         rewind(key, revision) {
             known.set(key, revision);
         },
-        lastAnswerAtMs: () => answeredAtMs,
+        lastAnswerAtMs: () => lastAnsweredAtMs,
         start() {
             isRunning = true;
             void run();
-            verifyTimer = setInterval(() => void verifyOne(), verifyMs);
+            verifyTimer = setInterval(() => void verifyNextKey(), verifyMs);
         },
         stop() {
             isRunning = false;
--- a/src/platform/index.ts
+++ b/src/platform/index.ts
@@ -1,4 +1,4 @@
-/** What the parts of an entry need of the platform: values with revisions, one watch, and the list of instances. */
+/** Interface of the platform: versioned values, one shared watch, and the instance list. */
 export { type CallListener, countCalls } from "./countCalls";
 export { createRegistration, type Registration } from "./createRegistration";
 export { createStorePlatform, type StorePlatformOptions } from "./createStorePlatform";
--- a/src/platform/test/platform.feature
+++ b/src/platform/test/platform.feature
@@ -1,11 +1,11 @@
-Feature: An entry's view of the platform over its store
+Feature: The platform interface on top of the platform's store
 
-    Scenario: a value is written under a condition
+    Scenario: a value is written at its expected revision
         When "a" writes "one" at revision 0
         Then the write is accepted
         And "b" reads "one"
 
-    Scenario: a write against an old revision shows the current value
+    Scenario: a write at an old revision is refused with the current value
         Given "a" has written "one"
         When "b" writes "two" at revision 0
         Then the write is refused and shows "one"
@@ -14,59 +14,60 @@
         When "a" writes 2000000 bytes
         Then the write is refused as "tooLarge"
 
-    Scenario: the answer to a write is lost
-        The write took effect. Taken for failed, the writer would say so to the operator.
+    Scenario: a write whose answer is lost has an unknown result
+        Guards against telling an operator that a write failed when it took effect.
 
         Given the store loses answers to "a"
         When "a" writes "one" at revision 0
         Then the write is refused as "unknown"
         And "b" reads "one"
 
-    Scenario: one watch tells of all followed keys
-        Given "b" follows "samphirepin/followed/log" and "samphirepin/followed/entries"
+    Scenario: one watch reports changes of all watched keys
+        Given "b" watches "samphirepin/followed/log" and "samphirepin/followed/entries"
         When "a" writes "one" to "samphirepin/followed/entries"
-        Then "b" is told of "samphirepin/followed/entries" only
+        Then "b" is notified of "samphirepin/followed/entries" only
 
-    Scenario: a watch goes on after the store has forgotten its history
-        The watch is told that its history is gone. If it went on from the newest revision, the change made meanwhile
-        would be missed.
+    Scenario: a watch continues after the store has compacted its history
+        Guards against missed changes. The store answers the watch that its history was compacted. A watch that
+        continued from the newest revision would miss the changes made before it.
 
-        Given "b" follows "samphirepin/followed/log" and "samphirepin/followed/entries"
+        Given "b" watches "samphirepin/followed/log" and "samphirepin/followed/entries"
         When "a" writes "one" to "samphirepin/followed/log"
-        And the store forgets its history
-        Then "b" is told of "samphirepin/followed/log" only
+        And the store compacts its history
+        Then "b" is notified of "samphirepin/followed/log" only
 
-    Scenario: a key that is followed from an older revision on is told again
-        Given "b" follows "samphirepin/followed/log" and "samphirepin/followed/entries"
+    Scenario: a key that is watched from an older revision on is reported again
+        Given "b" watches "samphirepin/followed/log" and "samphirepin/followed/entries"
         And "a" has written "one" to "samphirepin/followed/log"
-        And "b" has been told of it
-        When "b" goes back to an older revision of "samphirepin/followed/log"
-        Then "b" is told of "samphirepin/followed/log" only
+        And "b" has been notified of it
+        When "b" watches again from an older revision of "samphirepin/followed/log"
+        Then "b" is notified of "samphirepin/followed/log" only
 
-    Scenario: an instance is listed while its process lives
+    Scenario: an instance is listed while its process runs
         When instance "entry-1" registers
         Then "b" lists "entry-1"
 
-    Scenario: an instance that stops in an orderly way leaves the list
+    Scenario: an instance that shuts down leaves the list
         When instance "entry-1" registers
         And instance "entry-1" stops
         Then "b" lists nothing
 
-    Scenario: an instance that can't renew its place stops before others take it for gone
-        Its zone is cut off from the store for longer than the lease. Others take over its share of the limits when the
-        lease ends; if it served on, teams would have more running than their limit.
+    Scenario: an instance that cannot renew its lease stops before the lease expires
+        Guards against teams that run above their limit. A zone is cut off from the store for longer than the lease.
+        Other entries take over the instance's share of the limits when the lease expires, so it must not serve any
+        longer.
 
         When instance "entry-1" registers
-        And the store is silent to "entry-1"
+        And the store does not answer "entry-1"
         And 599 s pass
-        Then instance "entry-1" has lapsed
+        Then instance "entry-1" treats its lease as expired
         And "b" lists "entry-1"
 
-    Scenario: an instance lives through a long outage of the store
+    Scenario: an instance keeps its lease through a long outage of the store
         When instance "entry-1" registers
-        And the store is silent to "entry-1"
+        And the store does not answer "entry-1"
         And 300 s pass
         And the store answers "entry-1" again
         And 600 s pass
-        Then instance "entry-1" has not lapsed
+        Then instance "entry-1" does not treat its lease as expired
         And "b" lists "entry-1"
--- a/src/platform/test/platform.steps.ts
+++ b/src/platform/test/platform.steps.ts
@@ -12,7 +12,7 @@
     written: Either<SwapFailure, number>;
     known: Map<string, number>;
     registration: Registration;
-    hasLapsed: boolean;
+    hasLeaseExpired: boolean;
 }
 
 const key = "samphirepin/followed/log";
@@ -23,7 +23,7 @@
     this.store = createFakeStore();
     this.platforms = new Map();
     this.known = new Map();
-    this.hasLapsed = false;
+    this.hasLeaseExpired = false;
 });
 
 After(function(this: World) {
@@ -38,14 +38,14 @@
     return platform;
 }
 
-/** Lets the paused clock run until a call is answered. */
+/** Advances the fake clock until the call is answered. */
 async function settle<T>(world: World, call: Promise<T>): Promise<T> {
-    let isOver = false;
-    const watched = call.finally(() => isOver = true);
-    for (let step = 0; !isOver && step < 1000; step++) {
+    let isDone = false;
+    const answer = call.finally(() => isDone = true);
+    for (let step = 0; !isDone && step < 1000; step++) {
         await world.clock.advance(10);
     }
-    return watched;
+    return answer;
 }
 
 async function write(world: World, client: string, text: string, revision: number, at = key): Promise<void> {
@@ -79,7 +79,7 @@
     this.store.setFault(client, "answerLost");
 });
 
-When("the store is silent to {string}", function(this: World, client: string) {
+When("the store does not answer {string}", function(this: World, client: string) {
     this.store.setFault(client, "silent");
 });
 
@@ -87,7 +87,7 @@
     this.store.setFault(client, undefined);
 });
 
-When("the store forgets its history", function(this: World) {
+When("the store compacts its history", function(this: World) {
     this.store.forgetHistory();
 });
 
@@ -122,22 +122,22 @@
 }
 
 Given(
-    "{string} follows {string} and {string}",
+    "{string} watches {string} and {string}",
     async function(this: World, client: string, first: string, second: string) {
         [first, second].forEach((at) => this.known.set(at, 0));
         await settle(this, connect(this, client).watch(this.known, 0));
     },
 );
 
-Then("{string} is told of {string} only", async function(this: World, client: string, at: string) {
+Then("{string} is notified of {string} only", async function(this: World, client: string, at: string) {
     assert.deepEqual([...(await watch(this, client)).keys()], [at]);
 });
 
-Given("{string} has been told of it", async function(this: World, client: string) {
+Given("{string} has been notified of it", async function(this: World, client: string) {
     assert.equal((await watch(this, client)).size, 1);
 });
 
-When("{string} goes back to an older revision of {string}", function(this: World, _client: string, at: string) {
+When("{string} watches again from an older revision of {string}", function(this: World, _client: string, at: string) {
     this.known.set(at, 0);
 });
 
@@ -148,7 +148,7 @@
         instance,
         boot: "boot-1",
         clocks: { steadyMs: nowMs, suspendAwareMs: nowMs },
-        onLapsed: () => this.hasLapsed = true,
+        onLapsed: () => this.hasLeaseExpired = true,
     });
     this.registration.start();
     await this.clock.advance(100);
@@ -165,12 +165,12 @@
     }
 });
 
-Then("instance {string} has lapsed", function(this: World, _instance: string) {
-    assert.equal(this.hasLapsed, true);
+Then("instance {string} treats its lease as expired", function(this: World, _instance: string) {
+    assert.equal(this.hasLeaseExpired, true);
 });
 
-Then("instance {string} has not lapsed", function(this: World, _instance: string) {
-    assert.equal(this.hasLapsed, false);
+Then("instance {string} does not treat its lease as expired", function(this: World, _instance: string) {
+    assert.equal(this.hasLeaseExpired, false);
 });
 
 async function list(world: World, client: string): Promise<readonly string[]> {
--- a/src/store/createFollower.ts
+++ b/src/store/createFollower.ts
@@ -4,37 +4,43 @@
 export interface FollowerOptions {
     readonly store: Store;
     readonly prefix: string;
-    /** How long one watch waits, in milliseconds. It bounds how old the view can be while the store answers. */
+    /** Long-poll duration of one watch, in milliseconds. It bounds the age of the view while the store answers. */
     readonly waitMs: number;
-    /** Pause after each answer, so that a busy prefix costs fewer calls, in milliseconds. */
+    /** Pause after each answer that holds events, in milliseconds. It limits the number of calls on a busy prefix. */
     readonly pauseMs: number;
-    /** Reads the clock that also counts time during which this process was suspended. */
+    /** Clock that also counts time during which this process was suspended, in milliseconds. */
     readonly nowMs: () => number;
-    /** `undefined` as text: the key is gone. */
+    /** Called for each change of a key; `item` is `undefined` when the key was deleted. */
     onItem(key: string, item: StoreItem | undefined): void;
-    /** All events of one answer have been given to `onItem`. */
+    /** Called after `onItem` has received all changes of one answer. */
     onBatch?(): void;
+    /** Called when the store stops answering, once until it answers again. */
     onLost?(detail: string): void;
+    /** Called at the first answer after `onStoreLost`. */
     onRegained?(): void;
-    /** False where whoever follows keeps what it needs: only revisions are kept then. */
+    /** False if the caller stores what it needs from `onItem`: the view then keeps key revisions and empty texts. */
     readonly isItemKept?: boolean;
 }
 
-/** A view of all keys under a prefix that follows the store. */
+/** Keeps a local view of all keys under a prefix up to date. */
 export interface Follower {
     readonly items: ReadonlyMap<string, StoreItem>;
-    /** The view held everything that was written before this time; `undefined` before the first answer. */
+    /**
+     * The view contains every write made before this time, in milliseconds of `nowMs`; `undefined` before the first
+     * answer.
+     */
     freshAtMs(): number | undefined;
     start(): void;
     stop(): void;
 }
 
-/** Pause before the next try after a call without an answer, in milliseconds. Each try is paid for, refused or not. */
+/** Retry delay after a call without an answer, in milliseconds. The platform charges for refused calls too. */
 const retryMs = 200;
 
 /**
- * Follows a prefix by waiting watches. When the history is gone (the store dropped it, or was away for long) the
- * prefix is read whole and compared, so that keys removed meanwhile are noticed too.
+ * Watches a prefix by long polls. When the store no longer has the history since the last known revision (it was
+ * compacted, or the store was unavailable for long), the whole prefix is read and compared with the view. The
+ * comparison also finds keys that were deleted in between.
  */
 export function createFollower(opts: FollowerOptions): Follower {
     const items = new Map<string, StoreItem>();
@@ -43,7 +49,7 @@
     let isStopped = false;
     let isLost = false;
 
-    function noteAnswer(sentAtMs: number): void {
+    function recordAnswer(sentAtMs: number): void {
         freshAtMs = Math.max(freshAtMs ?? 0, sentAtMs);
         if (isLost) {
             isLost = false;
@@ -51,7 +57,7 @@
         }
     }
 
-    async function noteLoss(detail: string): Promise<void> {
+    async function recordLoss(detail: string): Promise<void> {
         if (!isLost) {
             isLost = true;
             opts.onLost?.(detail);
@@ -76,36 +82,37 @@
             return;
         }
         if (result.kind === "unavailable") {
-            await noteLoss(result.detail);
+            await recordLoss(result.detail);
             return;
         }
         const found = new Map(result.items.map((item) => [item.key, item]));
         [...items.keys()].filter((key) => !found.has(key)).forEach((key) => apply(key, undefined));
         for (const item of result.items) {
-            // Pages are not a snapshot: a key may have been read before and changed since.
+            // Pages are not one snapshot: an item may be older than the one already in the view.
             if ((items.get(item.key)?.revision ?? 0) < item.revision) {
                 apply(item.key, item);
             }
         }
         revision = result.revision;
-        noteAnswer(sentAtMs);
+        recordAnswer(sentAtMs);
         opts.onBatch?.();
     }
 
-    async function awaitChanges(after: number): Promise<void> {
+    async function waitForChanges(after: number): Promise<void> {
         const sentAtMs = opts.nowMs();
-        // After a loss the first answer tells that the store is back; waiting for a change, this entry would refuse
-        // requests and leave the duty alone for up to a watch's length longer.
-        const waited = await opts.store.watch(opts.prefix, after, isLost ? 0 : opts.waitMs);
-        // A store that is well may cut a watch that waits; only one that does not answer at once either is lost.
-        const isCut = waited.kind === "unavailable" && !isLost;
-        const result = isCut ? await opts.store.watch(opts.prefix, after, 0) : waited;
+        // After a loss, the watch returns at once, so that the first answer shows that the store is back. With a long
+        // poll, this entry would refuse requests and not act as leader for up to `waitMs` longer.
+        const firstResult = await opts.store.watch(opts.prefix, after, isLost ? 0 : opts.waitMs);
+        // A healthy store may close a pending watch. The store counts as lost only if a watch without waiting fails
+        // too.
+        const isInterrupted = firstResult.kind === "unavailable" && !isLost;
+        const result = isInterrupted ? await opts.store.watch(opts.prefix, after, 0) : firstResult;
         if (isStopped) {
             return;
         }
         switch (result.kind) {
             case "unavailable":
-                return noteLoss(result.detail);
+                return recordLoss(result.detail);
             case "compacted":
                 revision = undefined;
                 return;
@@ -119,7 +126,7 @@
                     }
                 }
                 revision = result.revision;
-                noteAnswer(sentAtMs);
+                recordAnswer(sentAtMs);
                 if (result.events.length > 0) {
                     opts.onBatch?.();
                     await pause(opts.pauseMs);
@@ -129,7 +136,7 @@
 
     async function run(): Promise<void> {
         while (!isStopped) {
-            await (revision === undefined ? readAll() : awaitChanges(revision));
+            await (revision === undefined ? readAll() : waitForChanges(revision));
         }
     }
 
--- a/src/store/createRelayedStore.ts
+++ b/src/store/createRelayedStore.ts
@@ -1,28 +1,28 @@
 import type { Peers } from "../peers";
 import type { Commit, Store } from "./store";
 
-/** Topic of relayed calls on the links between entries. */
+/** Peer message topic of relayed store calls. */
 const relayTopic = "store";
 
-/** How long a relayed call may take beyond what the call itself waits, in milliseconds. */
+/** Timeout of a relayed call, in milliseconds; a watch adds its own wait to it. */
 const relayTimeoutMs = 1000;
 
 /**
- * While the direct way is given up, a read of its own tries it this often, in milliseconds. Tried by calls in use, each
- * would wait for its full time before it goes round: writes then took 1 to 3 s where a store turned an owner away.
+ * Interval of the reads that probe the direct path while it is down, in milliseconds. Probing with regular calls would
+ * make each of them time out before it is relayed: writes took 1 to 3 s when the store refused a leader.
  */
 const probeMs = 1000;
 
-/** Key that is read to try the direct way; it need not exist. */
+/** Key that is read to probe the direct path; it need not exist. */
 const probeKey = "samphirepin/probe";
 
-/** A call through a peer this recent shows that the store works for others, in milliseconds. */
+/** A relayed call that succeeded within this time shows that the store serves other entries, in milliseconds. */
 const relayFreshMs = 1500;
 
-/** Peers asked one after the other before a call is given up. */
+/** Peers that are tried in turn before a call fails. */
 const maxPeersAsked = 2;
 
-/** A call as it travels to a peer. */
+/** A store call as it is sent to a peer. */
 type RelayedCall =
     | { readonly call: "read"; readonly key: string; }
     | { readonly call: "range"; readonly prefix: string; }
@@ -35,76 +35,76 @@
     readonly direct: Store;
     readonly peers: Peers;
     readonly nowMs: () => number;
-    /** The way that calls take has changed. */
+    /** Called when calls switch between the direct path and relaying through a peer. */
     onPathChange?(path: "direct" | "relayed", detail: string): void;
 }
 
 export interface RelayedStore extends Store {
-    /** The store answers others, and this entry only through them. */
+    /** True if the store does not answer this entry directly, but answered it through a peer recently. */
     isTurnedAway(): boolean;
 }
 
 /**
- * The store, through another entry where it does not answer this one.
+ * Creates a store client that relays calls through a peer while the store does not answer this entry directly.
  *
- * A store may turn away single instances and serve all others. Without a way around, an owner that is turned away loses
- * its duties, and an entry cannot take submissions though the store works. A peer makes the call in its place; only
- * the first way is tried on the peer's side, so that calls do not wander.
+ * The store may refuse single instances and serve all others. Without relaying, a refused leader loses its leadership
+ * and a refused entry cannot accept submissions, though the store works. The peer makes the call directly and never
+ * relays it further, so that calls do not travel from peer to peer.
  */
 export function createRelayedStore(opts: RelayedStoreOptions): RelayedStore {
     const { direct, peers, nowMs } = opts;
-    let isGivenUp = false;
+    let isDirectDown = false;
     let relayedAtMs = Number.NEGATIVE_INFINITY;
 
-    peers.onRequest(relayTopic, (_from, body) => isGivenUp ? refuse() : callStore(direct, body as RelayedCall));
+    peers.onRequest(relayTopic, (_from, body) => isDirectDown ? refuse() : callStore(direct, body as RelayedCall));
 
     function refuse(): Promise<unknown> {
         return Promise.resolve({ kind: "unavailable", detail: "the store does not answer the peer either" });
     }
 
-    function noteDirect(kind: string, detail: string): void {
+    function recordDirectResult(kind: string, detail: string): void {
         const isAnswered = kind !== "unavailable" && kind !== "unknown";
-        if (isGivenUp === isAnswered) {
-            isGivenUp = !isAnswered;
+        if (isDirectDown === isAnswered) {
+            isDirectDown = !isAnswered;
             opts.onPathChange?.(isAnswered ? "direct" : "relayed", detail);
-            if (isGivenUp) {
+            if (isDirectDown) {
                 setTimeout(() => void probe(), probeMs);
             }
         }
     }
 
-    async function tryDirect(): Promise<void> {
+    async function probeDirect(): Promise<void> {
         const result = await direct.read(probeKey);
-        noteDirect(result.kind, "");
+        recordDirectResult(result.kind, "");
     }
 
     async function probe(): Promise<void> {
-        await tryDirect();
-        if (isGivenUp) {
+        await probeDirect();
+        if (isDirectDown) {
             setTimeout(() => void probe(), probeMs);
         }
     }
 
     /**
-     * Through a peer the store answers again after a time in which it did not: an outage may be over. The probe that is under
-     * way was swallowed by it and hangs for its full time; until then this entry would count as turned away, and an owner
-     * leave its duty to nobody.
+     * Probes the direct path at the first relayed success after a gap, as a store outage may have ended. A probe sent
+     * during the outage hangs until its timeout. Until then this entry would count as relay-only, and a leader would
+     * resign and leave no leader.
      */
-    function noteRelayed(): void {
+    function recordRelayedAnswer(): void {
         const isFirst = nowMs() - relayedAtMs > relayFreshMs;
         relayedAtMs = nowMs();
         if (isFirst) {
-            void tryDirect();
+            void probeDirect();
         }
     }
 
     /**
-     * The store may cut any watch that waits, as when it drops its history. Taken for being turned away, each owner would
-     * give its duty up at that moment, and all others with it; a short read tells the two apart.
+     * Tells a closed watch from a store that does not answer, by a short read. The store may close any pending watch,
+     * for example when it compacts its history. If that counted as a refusal, all leaders would resign at once.
      */
     async function checkAfterWatch(): Promise<void> {
         const { kind } = await direct.read(probeKey);
-        noteDirect(kind, "a watch broke, and a read was not answered either");
+        recordDirectResult(kind, "a watch failed, and a read after it was not answered either");
     }
 
     async function callDirect<R extends { kind: string; detail?: string; }>(call: RelayedCall): Promise<R> {
@@ -113,43 +113,47 @@
             await checkAfterWatch();
         }
         else {
-            noteDirect(result.kind, result.detail ?? "");
+            recordDirectResult(result.kind, result.detail ?? "");
         }
         return result;
     }
 
     async function callPeers<R extends { kind: string; }>(call: RelayedCall): Promise<R | undefined> {
         const timeoutMs = relayTimeoutMs + (call.call === "watch" ? call.waitMs : 0);
-        const chosen = [...peers.connected()].sort((a, b) => rank(a.boot) - rank(b.boot)).slice(0, maxPeersAsked);
+        const candidates = [...peers.connected()].sort((a, b) => hashPair(a.boot) - hashPair(b.boot)).slice(
+            0,
+            maxPeersAsked,
+        );
         let result: R | undefined;
-        for (const peer of chosen) {
+        for (const peer of candidates) {
             const answer = await peers.request(peer.boot, relayTopic, call, timeoutMs);
             result = answer.caseOf<R>({
                 Right: (given) => given as R,
-                // A request that never left did nothing; a write that left may have been made.
+                // A request that was not sent has no effect; a write that was sent may have been made.
                 Left: ({ kind, detail }) =>
                     ({ kind: kind === "unknown" && isWrite(call) ? "unknown" : "unavailable", detail }) as
                         & R
                         & { detail: string; },
             });
             if (result.kind !== "unavailable") {
-                noteRelayed();
+                recordRelayedAnswer();
                 return result;
             }
         }
         return result;
     }
 
-    /** Spreads the relayed calls of different entries over the peers. */
-    function rank(boot: string): number {
+    /** Hashes the pair of boots, so that different entries relay through different peers. */
+    function hashPair(boot: string): number {
         return [...`${peers.self.boot}${boot}`].reduce((sum, char) => (sum * 31 + char.charCodeAt(0)) % 65_521, 7);
     }
 
     async function callAny<R extends { kind: string; detail?: string; }>(call: RelayedCall): Promise<R> {
-        if (!isGivenUp) {
+        if (!isDirectDown) {
             const result = await callDirect<R>(call);
-            // An unknown write must not be sent a second way here: only its sender knows whether that is safe.
-            if (result.kind !== "unavailable" || call.call === "watch" && !isGivenUp) {
+            // A write with an unknown result is not retried through a peer: only the caller knows whether a retry is
+            // safe.
+            if (result.kind !== "unavailable" || call.call === "watch" && !isDirectDown) {
                 return result;
             }
             return await callPeers<R>(call) ?? result;
@@ -159,7 +163,7 @@
     }
 
     return {
-        isTurnedAway: () => isGivenUp && nowMs() - relayedAtMs < relayFreshMs,
+        isTurnedAway: () => isDirectDown && nowMs() - relayedAtMs < relayFreshMs,
         read: (key) => callAny({ call: "read", key }),
         range: (prefix) => callAny({ call: "range", prefix }),
         watch: (prefix, after, waitMs) => callAny({ call: "watch", prefix, after, waitMs }),
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,4 +1,4 @@
-/** The platform's store as the product sees it, the way to it through other entries, and followed prefixes. */
+/** Interface of the platform's store, relaying of store calls through other entries, and watched prefixes. */
 export { createFollower, type Follower } from "./createFollower";
 export { createRelayedStore, type RelayedStore } from "./createRelayedStore";
 export * from "./store";
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -1,4 +1,4 @@
-/** One value of the platform's store. Revisions are those of the whole store and only rise. */
+/** A key and its value in the platform's store. Revisions count the changes of the whole store and only increase. */
 export interface StoreItem {
     readonly key: string;
     readonly text: string;
@@ -6,18 +6,20 @@
     readonly revision: number;
 }
 
-/** A change that a watch tells of. */
+/** A change reported by a watch. */
 export type StoreEvent =
     | { readonly kind: "put"; readonly item: StoreItem; }
     | { readonly kind: "deleted"; readonly key: string; readonly revision: number; };
 
-/** The call did nothing, and the store will not carry it out later. */
+/** The call had no effect, and the store will not apply it later. */
 export interface StoreUnavailable {
     readonly kind: "unavailable";
     readonly detail: string;
 }
 
-/** The answer was lost; a write may take effect, now or seconds later, if its conditions still hold. */
+/**
+ * The answer was lost. The write may have taken effect, or may take effect seconds later if its conditions still hold.
+ */
 export interface StoreUnknown {
     readonly kind: "unknown";
     readonly detail: string;
@@ -34,11 +36,11 @@
 
 export type WatchResult =
     | { readonly kind: "events"; readonly events: readonly StoreEvent[]; readonly revision: number; }
-    /** The history back to the asked revision is gone; the prefix has to be read anew. */
+    /** The history since the requested revision was discarded; the prefix has to be read again. */
     | { readonly kind: "compacted"; }
     | StoreUnavailable;
 
-/** A key and the revision it has to be at; 0 where it must not exist. */
+/** Requires that a key is at a revision; 0 requires that the key does not exist. */
 export interface Condition {
     readonly key: string;
     readonly revision: number;
@@ -47,11 +49,11 @@
 export interface Put {
     readonly key: string;
     readonly text: string;
-    /** Lease that the key ends with; 0 for none. */
+    /** The key is deleted when this lease ends; 0 for no lease. */
     readonly lease?: number;
 }
 
-/** All or nothing. */
+/** An atomic transaction: all puts and deletes are applied if all conditions hold, otherwise none is. */
 export interface Commit {
     readonly conditions: readonly Condition[];
     readonly puts: readonly Put[];
@@ -60,7 +62,7 @@
 
 export type CommitResult =
     | { readonly kind: "committed"; readonly revision: number; }
-    /** Nothing was written; the items of the conditions as they are now, absent keys left out. */
+    /** Nothing was written. `items` holds the current items of the condition keys; missing keys are left out. */
     | { readonly kind: "conflict"; readonly items: readonly StoreItem[]; }
     | { readonly kind: "leaseEnded"; }
     | StoreUnavailable
@@ -71,15 +73,15 @@
     | { readonly kind: "leaseEnded"; }
     | StoreUnavailable;
 
-/** Entries of one commit at most, counting conditions, puts and deletes (limit of the platform's store). */
+/** Most conditions, puts and deletes in one commit, counted together (limit of the platform's store). */
 export const maxCommitEntries = 32;
 
-/** The platform's store; each call is one call on the platform's account. */
+/** Client of the platform's store. Each call is billed as one call by the platform. */
 export interface Store {
     read(key: string): Promise<ReadResult>;
-    /** All items under a prefix, over as many pages as it takes. */
+    /** Reads all items under a prefix, page by page. */
     range(prefix: string): Promise<RangeResult>;
-    /** Waits for changes after a revision, `waitMs` at most. */
+    /** Waits up to `waitMs` for changes after a revision; gives no events if there were none. */
     watch(prefix: string, afterRevision: number, waitMs: number): Promise<WatchResult>;
     commit(commit: Commit): Promise<CommitResult>;
     grantLease(ttlMs: number): Promise<LeaseResult>;
--- a/src/store/test/store.feature
+++ b/src/store/test/store.feature
@@ -1,109 +1,112 @@
-Feature: The platform's store, followed and reached through others
+Feature: Watching a prefix of the platform's store, and relaying store calls through peers
 
-    Scenario: a prefix is followed
-        Given a follower of "a/"
+    Scenario: a watched prefix is kept up to date
+        Given a watcher of prefix "a/"
         When "a/1" is written as "x"
         And "b/1" is written as "y"
         And 50 ms pass
-        Then the follower has "a/1=x"
+        Then the watcher's view is "a/1=x"
 
-    Scenario: a key that was removed while the history was lost
-        The store drops its history, and a key goes in the gap. A follower that only reads on from where the store is now
-        would keep it for good, such as a worker that has left.
+    Scenario: a key that was deleted before the history was compacted is removed from the view
+        Guards against deleted keys that stay in the view, such as a worker that has left. The store discards the
+        history that holds the deletion. A watcher that only continues from the store's current revision never learns of
+        it.
 
         Given "a/1" is written as "x"
-        And a follower of "a/"
+        And a watcher of prefix "a/"
         When 50 ms pass
-        And "a/1" is removed without a trace
+        And "a/1" is deleted and the history compacted
         And 100 ms pass
-        Then the follower has ""
+        Then the watcher's view is ""
 
-    Scenario: how old a view is
-        A withdrawn key has to stop within seconds, cut off or not, so an entry has to know when its view was last right.
+    Scenario: the age of the view grows while the store does not answer
+        Guards against an entry that goes on accepting a withdrawn API key. A withdrawn key has to stop working within
+        seconds, also on an entry that is cut off, so an entry has to know when its view was last up to date.
 
-        Given a follower of "a/"
+        Given a watcher of prefix "a/"
         When 100 ms pass
         And the store is "silent" for "entry-1"
         And 5000 ms pass
         Then the view is at least 4000 ms old
 
-    Scenario: a store that turns one entry away is reached through another
-        The store refuses single instances and serves all others. Without a way around, an owner that is turned away loses
-        its duty and clients of that entry are refused, though the store works.
+    Scenario: an entry that the store refuses writes through a peer
+        Guards against the loss of leadership and refused clients while the store works. The store refuses a single
+        instance and serves all others.
 
-        Given entries "entry-1" and "entry-2" with links
+        Given entries "entry-1" and "entry-2" are linked peers
         When the store is "refused" for "entry-1"
         Then "entry-1" can write
 
-    Scenario: an entry that is turned away knows it
-        Given entries "entry-1" and "entry-2" with links
+    Scenario: an entry that the store refuses reports itself as relay-only
+        Given entries "entry-1" and "entry-2" are linked peers
         When the store is "refused" for "entry-1"
         And "entry-1" writes
-        Then "entry-1" is turned away
-        And "entry-2" is not turned away
+        Then "entry-1" is relay-only
+        And "entry-2" is not relay-only
 
-    Scenario: relayed calls do not wait for the direct way
-        Each write of an owner that is cut off from the store first waited for an answer that could not come, and tasks
-        started seconds late.
+    Scenario: relayed calls do not wait for the direct path
+        Guards against tasks that start seconds late. Each write of a leader that was cut off from the store first
+        waited for the timeout of the direct call.
 
-        Given entries "entry-1" and "entry-2" with links
+        Given entries "entry-1" and "entry-2" are linked peers
         When the store is "silent" for "entry-1"
         And "entry-1" reads
         Then 10 reads of "entry-1" take at most 300 ms
 
-    Scenario: an entry takes the direct way again
-        Given entries "entry-1" and "entry-2" with links
+    Scenario: an entry returns to the direct path
+        Given entries "entry-1" and "entry-2" are linked peers
         When the store is "refused" for "entry-1"
         And "entry-1" writes
-        And the store is well for "entry-1"
+        And the store answers "entry-1"
         And 1500 ms pass
-        Then "entry-1" is not turned away
+        Then "entry-1" is not relay-only
 
-    Scenario: the store returns from an outage, and a peer hears it first
-        Calls sent in the outage hang until they time out. An owner that sees answers through a peer alone takes itself for
-        turned away and leaves the duty to others, which may stand worse: nobody decides for a second and more.
+    Scenario: the store returns from an outage, and a peer is answered first
+        Guards against a second or more without a leader. Calls sent during the outage hang until they time out. A
+        leader that is answered only through a peer considers itself relay-only and resigns, though the other entries
+        may be less fit.
 
-        Given entries "entry-1" and "entry-2" with links
+        Given entries "entry-1" and "entry-2" are linked peers
         When the store is "silent" for "entry-1"
         And the store is "refused" for "entry-2"
         And "entry-1" reads
         And 1100 ms pass
-        And the store is well for "entry-1"
-        And the store is well for "entry-2"
+        And the store answers "entry-1"
+        And the store answers "entry-2"
         And "entry-1" reads
         And 50 ms pass
-        Then "entry-1" is not turned away
+        Then "entry-1" is not relay-only
 
-    Scenario: a write whose answer was lost is not sent a second way
-        Its sender alone knows whether that is safe.
+    Scenario: a write whose answer was lost is not retried through a peer
+        Guards against a write that is applied twice. Only its sender knows whether a retry is safe.
 
-        Given entries "entry-1" and "entry-2" with links
+        Given entries "entry-1" and "entry-2" are linked peers
         When the store is "answerLost" for "entry-1"
         Then a write of "entry-1" ends as "unknown"
         And "entry-2" has made no call
 
-    Scenario: the store cuts the watches that wait
-        It drops its history, or is restarted, and answers everything else. Taken for being turned away, the owner gave its
-        duty up, and entries refused what clients handed in.
+    Scenario: closed watches do not make an entry relay-only
+        Guards against a leader that resigns and entries that refuse submissions when the store closes pending watches.
+        The store compacts its history or restarts, and answers all other calls.
 
-        Given entries "entry-1" and "entry-2" with links
-        When "entry-1" watches, and the store cuts its watches
-        Then "entry-1" is not turned away
+        Given entries "entry-1" and "entry-2" are linked peers
+        When "entry-1" watches, and the store closes pending watches
+        Then "entry-1" is not relay-only
         And "entry-2" has made no call
 
-    Scenario: a follower goes on after its watch was cut
-        Given a follower of "k"
-        When the store cuts the follower's watch
-        Then the follower has not lost the store
+    Scenario: a closed watch does not count as a lost store
+        Given a watcher of prefix "k"
+        When the store closes the watcher's pending watch
+        Then the watcher has not reported the store as lost
 
-    Scenario: a follower notices at once that the store is back
-        Nothing changes for a while after an outage. Waiting for a change, each entry would take the store for lost and
-        refuse keyed requests for seconds more.
+    Scenario: a watcher notices at once that the store is back
+        Guards against entries that refuse requests with an API key for seconds after an outage. No key changes after
+        the outage, so a long poll would not return.
 
-        Given a follower of "k"
+        Given a watcher of prefix "k"
         And 100 ms pass
         When the store is "refused" for "entry-1"
         And 2000 ms pass
-        And the store is well for "entry-1"
+        And the store answers "entry-1"
         And 300 ms pass
-        Then the follower has the store again
+        Then the watcher has reported the store as lost and recovered, once each
--- a/src/store/test/store.steps.ts
+++ b/src/store/test/store.steps.ts
@@ -8,7 +8,7 @@
 interface World {
     clock: Clock;
     store: FakeStore;
-    follower: Follower | undefined;
+    watcher: Follower | undefined;
     lost: number;
     regained: number;
     entries: Map<string, RelayedStore>;
@@ -18,18 +18,18 @@
     this.clock = installClock();
     this.store = createFakeStore();
     this.entries = new Map();
-    this.follower = undefined;
+    this.watcher = undefined;
     this.lost = 0;
     this.regained = 0;
 });
 
 After(function(this: World) {
-    this.follower?.stop();
+    this.watcher?.stop();
     this.clock.uninstall();
 });
 
-Given("a follower of {string}", function(this: World, prefix: string) {
-    this.follower = createFollower({
+Given("a watcher of prefix {string}", function(this: World, prefix: string) {
+    this.watcher = createFollower({
         store: this.store.connect("entry-1"),
         prefix,
         waitMs: 1000,
@@ -39,31 +39,31 @@
         onLost: () => this.lost++,
         onRegained: () => this.regained++,
     });
-    this.follower.start();
+    this.watcher.start();
 });
 
-When("the store cuts the follower's watch", async function(this: World) {
+When("the store closes the watcher's pending watch", async function(this: World) {
     await this.clock.advance(100);
     this.store.cutWatches();
     await this.clock.advance(300);
 });
 
-Then("the follower has not lost the store", function(this: World) {
+Then("the watcher has not reported the store as lost", function(this: World) {
     assert.equal(this.lost, 0);
 });
 
-Then("the follower has the store again", function(this: World) {
+Then("the watcher has reported the store as lost and recovered, once each", function(this: World) {
     assert.deepEqual([this.lost, this.regained], [1, 1]);
 });
 
-When("{string} watches, and the store cuts its watches", async function(this: World, name: string) {
-    const watching = entryOf(this, name).watch("k", 10, 2000);
+When("{string} watches, and the store closes pending watches", async function(this: World, name: string) {
+    const watching = findEntry(this, name).watch("k", 10, 2000);
     await this.clock.advance(100);
     this.store.cutWatches();
     assert.equal((await finish(this, watching)).result.kind, "unavailable");
 });
 
-Given("entries {string} and {string} with links", async function(this: World, first: string, second: string) {
+Given("entries {string} and {string} are linked peers", async function(this: World, first: string, second: string) {
     const network = createFakeNetwork();
     for (const boot of [first, second]) {
         const peer = { boot, instance: boot, region: "r", zone: "z", peerUrl: `ws://${boot}` };
@@ -78,7 +78,7 @@
     this.store.put(key, text);
 });
 
-When("{string} is removed without a trace", function(this: World, key: string) {
+When("{string} is deleted and the history compacted", function(this: World, key: string) {
     this.store.setFault("entry-1", "silent");
     this.store.remove(key);
     this.store.forgetHistory();
@@ -93,39 +93,42 @@
     this.store.setFault(entry, fault);
 });
 
-When("the store is well for {string}", function(this: World, entry: string) {
+When("the store answers {string}", function(this: World, entry: string) {
     this.store.setFault(entry, undefined);
 });
 
-Then("the follower has {string}", function(this: World, expected: string) {
-    const items = [...this.follower?.items.values() ?? []].map(({ key, text }) => `${key}=${text}`);
+Then("the watcher's view is {string}", function(this: World, expected: string) {
+    const items = [...this.watcher?.items.values() ?? []].map(({ key, text }) => `${key}=${text}`);
     assert.equal(items.join(" "), expected);
 });
 
 Then("the view is at least {int} ms old", function(this: World, ms: number) {
-    assert.ok(performance.now() - (this.follower?.freshAtMs() ?? 0) >= ms);
+    assert.ok(performance.now() - (this.watcher?.freshAtMs() ?? 0) >= ms);
 });
 
-/** Lets the clock run until a call has ended; gives the time that it took. */
+/** Advances the clock until the call ends; returns its result and duration. */
 async function finish<T>(world: World, call: Promise<T>): Promise<{ readonly result: T; readonly tookMs: number; }> {
-    const begunAtMs = performance.now();
+    const startedAtMs = performance.now();
     let ended: { result: T; } | undefined;
     void call.then((result) => ended = { result });
     for (let waitedMs = 0; ended === undefined && waitedMs < 10_000; waitedMs += 5) {
         await world.clock.advance(5);
     }
     assert.ok(ended);
-    return { result: ended.result, tookMs: performance.now() - begunAtMs };
+    return { result: ended.result, tookMs: performance.now() - startedAtMs };
 }
 
-function entryOf(world: World, name: string): RelayedStore {
+function findEntry(world: World, name: string): RelayedStore {
     const entry = world.entries.get(name);
     assert.ok(entry);
     return entry;
 }
 
 function write(world: World, name: string) {
-    return finish(world, entryOf(world, name).commit({ conditions: [], puts: [{ key: "k", text: "v" }], deletes: [] }));
+    return finish(
+        world,
+        findEntry(world, name).commit({ conditions: [], puts: [{ key: "k", text: "v" }], deletes: [] }),
+    );
 }
 
 Then("{string} can write", async function(this: World, name: string) {
@@ -137,7 +140,7 @@
 });
 
 When("{string} reads", async function(this: World, name: string) {
-    await finish(this, entryOf(this, name).read("k"));
+    await finish(this, findEntry(this, name).read("k"));
 });
 
 Then("a write of {string} ends as {string}", async function(this: World, name: string, kind: string) {
@@ -148,12 +151,12 @@
     assert.equal(this.store.calls(name), 0);
 });
 
-Then("{string} is turned away", function(this: World, name: string) {
-    assert.equal(entryOf(this, name).isTurnedAway(), true);
+Then("{string} is relay-only", function(this: World, name: string) {
+    assert.equal(findEntry(this, name).isTurnedAway(), true);
 });
 
-Then("{string} is not turned away", function(this: World, name: string) {
-    assert.equal(entryOf(this, name).isTurnedAway(), false);
+Then("{string} is not relay-only", function(this: World, name: string) {
+    assert.equal(findEntry(this, name).isTurnedAway(), false);
 });
 
 Then(
@@ -161,7 +164,7 @@
     async function(this: World, count: number, name: string, ms: number) {
         let totalMs = 0;
         for (let at = 0; at < count; at++) {
-            totalMs += (await finish(this, entryOf(this, name).read("k"))).tookMs;
+            totalMs += (await finish(this, findEntry(this, name).read("k"))).tookMs;
         }
         assert.ok(totalMs <= ms, `${totalMs} ms`);
     },
