--- a/src/members/createInstanceList.ts
+++ b/src/members/createInstanceList.ts
@@ -10,14 +10,18 @@
     readonly listMs: number;
     /** Called after this entry has read the list itself. */
     readonly onRead: (listing: Listing) => Promise<void>;
+    /** Called after the list has changed. */
     readonly onChange: () => void;
 }
 
+/** Status of each instance in the list, by instance name. */
 export type Listing = ReadonlyMap<string, InstanceStatus>;
 
 /** The platform's instance list: one entry of each zone reads it and sends the changes to the other entries there. */
 export interface InstanceList {
+    /** The latest list known; `undefined` until one was received. */
     current(): Listing | undefined;
+    /** Age of the list, in milliseconds since it was requested; `undefined` until one was received. */
     ageMs(): number | undefined;
     start(): void;
     stop(): void;
--- a/src/members/createMembers.ts
+++ b/src/members/createMembers.ts
@@ -24,7 +24,7 @@
 
 const defaultListMs = 3000;
 
-/** Attempts to read the instance list before this boot enters the record without it. */
+/** Failed attempts to read the instance list after which this boot enters the record without having read it. */
 const maxListAttempts = 5;
 
 /** Attempts to leave the record at a clean shutdown. */
--- a/src/peers/createLink.ts
+++ b/src/peers/createLink.ts
@@ -21,6 +21,7 @@
     readonly socket: WebSocket;
     /** `undefined` until the peer's hello frame. */
     peer: Peer | undefined;
+    /** Times in milliseconds since the epoch. */
     readonly openedAtMs: number;
     heardAtMs: number;
     sentAtMs: number;
--- a/src/platform/createRegistration.ts
+++ b/src/platform/createRegistration.ts
@@ -17,7 +17,9 @@
 }
 
 export interface Registration {
+    /** Registers the instance and renews its lease until `stop`; retries until that succeeds. */
     start(): void;
+    /** Ends the lease, which removes the instance from the list. */
     stop(): Promise<void>;
 }
 
--- a/src/platform/createWatcher.ts
+++ b/src/platform/createWatcher.ts
@@ -20,11 +20,12 @@
      * With `onRolledBack`, the key is also read periodically. If the platform was rolled back to an older value, that
      * listener is called with it, and the key is watched from its revision on.
      */
-    follow(key: string, listener: StoredListener, onRewound?: StoredListener): void;
+    follow(key: string, listener: StoredListener, onRolledBack?: StoredListener): void;
     /** Applies a value that was learned by other means, such as this daemon's own write. */
     learn(key: string, stored: StoredValue): void;
     /**
-     * Watches the key from an older revision on. Only after a write has proved that the platform is at that revision.
+     * Watches the key from an older revision on. Call it only after a write has proved that the platform is at
+     * that revision.
      */
     rewind(key: string, revision: number): void;
     /**
@@ -99,11 +100,11 @@
     }
 
     return {
-        follow(key, listener, onRewound) {
+        follow(key, listener, onRolledBack) {
             known.set(key, known.get(key) ?? 0);
             listeners.set(key, [...listeners.get(key) ?? [], listener]);
-            if (onRewound !== undefined) {
-                rollbackListeners.set(key, onRewound);
+            if (onRolledBack !== undefined) {
+                rollbackListeners.set(key, onRolledBack);
             }
         },
         learn,
