--- a/src/policy/createPolicyFeed.ts
+++ b/src/policy/createPolicyFeed.ts
@@ -3,12 +3,13 @@
 import { createFollower, type Store } from "../store";
 import type { Policy, Wave } from "./policy";
 
-/** Turns what operators wrote into the product's types; `undefined` where it can't be read. */
+/** Decodes what operators write to the store; `undefined` where a value can't be decoded. */
 export interface PolicyDecoder {
+    /** Prefix of all keys that operators write. */
     readonly prefix: string;
     decodePolicy(key: string, text: string): Policy | undefined;
     decodeWave(key: string, text: string): Wave | undefined;
-    /** The availability zone that a key asks to evacuate; the key alone tells, whatever its value. */
+    /** The availability zone that a key asks to evacuate. Only the key counts: its value may be unreadable. */
     decodeEvacuation(key: string): string | undefined;
 }
 
@@ -17,31 +18,37 @@
     readonly decoder: PolicyDecoder;
     readonly clocks: Clocks;
     readonly report: Reporter;
+    /** Called after each answer of the store has been applied. */
     onChange?(): void;
 }
 
 export interface PolicyFeed {
-    /** The newest version seen; never an older one than before. */
+    /** The newest version seen, `undefined` before the first. It never goes back to an older version. */
     policy(): Policy | undefined;
+    /** Maintenance waves, by number. */
     waves(): readonly Wave[];
-    /** Availability zones whose workers are to be sent nothing new. */
+    /** Availability zones under evacuation: their workers get no new tasks. */
     evacuatedZones(): ReadonlySet<string>;
-    /** Every version accepted longer ago than this is in force here; `undefined` before the first answer. */
+    /**
+     * Age of the view, in milliseconds: every version accepted longer ago than this is applied here. `undefined` before
+     * the first answer.
+     */
     ageMs(): number | undefined;
-    /** The store has stopped answering, also through other entries. */
+    /** The store answers neither directly nor through other entries. */
     isStoreLost(): boolean;
     start(): void;
     stop(): void;
 }
 
 /**
- * How long one watch waits, in milliseconds. The age of the configuration is counted from when the last answered watch
- * was sent, so this bounds it; a withdrawn key has to stop within 5,000 ms even where nothing can be heard, and an
- * entry that is cut off stops taking keyed requests soon after. 0.7 calls a second for each entry.
+ * How long one watch waits, in milliseconds. The age of the configuration is counted from the time at which the last
+ * answered watch was sent, so this bounds the age while the store answers. A withdrawn key has to stop working within
+ * 5,000 ms even on an entry that is cut off, and such an entry stops taking requests with keys soon after. Costs 0.7 calls
+ * a second for each entry.
  */
 const watchWaitMs = 1500;
 
-/** Follows the operators' configuration, maintenance waves and evacuations. */
+/** Watches the operators' configuration, maintenance waves and evacuations in the platform's store. */
 export function createPolicyFeed(opts: PolicyFeedOptions): PolicyFeed {
     let policy: Policy | undefined;
     const waves = new Map<string, Wave>();
@@ -61,7 +68,7 @@
         }
     }
 
-    function remove(key: string): void {
+    function removeItem(key: string): void {
         waves.delete(key);
         const zone = opts.decoder.decodeEvacuation(key);
         if (zone !== undefined) {
@@ -69,7 +76,7 @@
         }
     }
 
-    function take(key: string, text: string): void {
+    function applyItem(key: string, text: string): void {
         const zone = opts.decoder.decodeEvacuation(key);
         if (zone !== undefined) {
             beginEvacuation(zone);
@@ -80,18 +87,22 @@
             waves.set(key, wave);
             return;
         }
-        const next = opts.decoder.decodePolicy(key, text);
-        if (next === undefined) {
-            opts.report({ kind: "valueRefused", key, detail: "it is no configuration, wave or evacuation" });
+        const decoded = opts.decoder.decodePolicy(key, text);
+        if (decoded === undefined) {
+            opts.report({
+                kind: "valueRefused",
+                key,
+                detail: "the value is not a valid configuration, maintenance wave or evacuation",
+            });
         }
-        // A relayed answer can be older than one that came directly.
-        else if (policy === undefined || next.version > policy.version) {
-            policy = next;
-            opts.report({ kind: "configurationApplied", revision: next.version });
+        // An answer relayed by another entry can be older than one that came directly.
+        else if (policy === undefined || decoded.version > policy.version) {
+            policy = decoded;
+            opts.report({ kind: "configurationApplied", revision: decoded.version });
         }
     }
 
-    const follower = createFollower({
+    const watcher = createFollower({
         store: opts.store,
         prefix: opts.decoder.prefix,
         waitMs: watchWaitMs,
@@ -99,10 +110,10 @@
         nowMs: opts.clocks.suspendAwareMs,
         onItem(key, item) {
             if (item === undefined) {
-                remove(key);
+                removeItem(key);
             }
             else {
-                take(key, item.text);
+                applyItem(key, item.text);
             }
         },
         onBatch: () => opts.onChange?.(),
@@ -121,11 +132,11 @@
         waves: () => [...waves.values()].sort((a, b) => a.wave - b.wave),
         evacuatedZones: () => evacuatedZones,
         ageMs() {
-            const freshAtMs = follower.freshAtMs();
+            const freshAtMs = watcher.freshAtMs();
             return freshAtMs === undefined ? undefined : opts.clocks.suspendAwareMs() - freshAtMs;
         },
         isStoreLost: () => isStoreLost,
-        start: () => follower.start(),
-        stop: () => follower.stop(),
+        start: () => watcher.start(),
+        stop: () => watcher.stop(),
     };
 }
--- a/src/policy/index.ts
+++ b/src/policy/index.ts
@@ -1,4 +1,4 @@
-/** The operators' configuration as the platform's store holds it: routes, pools, client accounts, waves. */
+/** The operators' configuration in the platform's store: queues, pools, client accounts, maintenance waves, evacuations. */
 export { createPolicyFeed, type PolicyDecoder, type PolicyFeed } from "./createPolicyFeed";
 export { findRoute, findTenant } from "./findRoute";
 export { isFreshForStarts } from "./isFreshForStarts";
--- a/src/policy/isFreshForStarts.ts
+++ b/src/policy/isFreshForStarts.ts
@@ -1,14 +1,15 @@
-/** Longest time from a decision to start until its order has reached the worker, in milliseconds. */
+/** Longest time from the decision to start a task until the order has reached the worker, in milliseconds. */
 const decisionToStartMs = 1000;
 
 /**
- * Whether what is known of the operators' instructions is new enough to start anything.
+ * Whether the view of the operators' instructions is recent enough to start tasks.
  *
- * An evacuation may have been asked for right after the last answer. An owner that can't hear of it stops starting in time,
- * whichever zone it would start in.
+ * An evacuation may have been requested right after the last answer of the store. An owner that can't learn of it stops
+ * all starts before the evacuation has to be followed, in every availability zone.
  *
- * @param ageMs how old the newest proof is that no newer instruction was accepted, in milliseconds
- * @param evacuateMs time after which an evacuation has to be followed, in milliseconds; `undefined`: there are none
+ * @param ageMs age of the view, in milliseconds: every instruction accepted longer ago is known here; `undefined`
+ *     before the first answer
+ * @param evacuateMs time within which an evacuation has to be followed, in milliseconds; `undefined` where there are no evacuations
  */
 export function isFreshForStarts(ageMs: number | undefined, evacuateMs: number | undefined): boolean {
     return evacuateMs === undefined || (ageMs !== undefined && ageMs < evacuateMs - decisionToStartMs);
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -1,53 +1,57 @@
 import type { Resources } from "../resources";
 
-/** A queue: which requests it takes, where its tasks run and how they are treated. */
+/** Configuration of a queue: which requests it takes, the pool that runs its tasks, and how they are scheduled. */
 export interface Route {
     readonly name: string;
     readonly host: string;
     readonly pathPrefix: string;
+    /** Name of the pool that runs its tasks. */
     readonly service: string;
-    /** Anybody may call it; no key is looked at. */
+    /** Requests need no API key. */
     readonly isPublic: boolean;
-    /** 0 goes first and may preempt the others. */
+    /** 0 is the highest priority and may preempt the others. */
     readonly priority: number;
-    /** Failed runs of one task after which its submission has failed. */
+    /** Number of failed runs of one task after which its submission fails. */
     readonly maxAttempts: number;
-    /** A submission should take at most this many times its longest chain of work. */
+    /** Target for the time that a submission takes, as a multiple of its critical path. */
     readonly stretch: number;
-    /** What a submission may take beyond its stretched chain. */
+    /** Time that a submission may take beyond `stretch` times its critical path. */
     readonly targetLatencyMs: number;
-    /** How long a request to the queue may take. */
+    /** How long a request to the queue may take where the client sets no timeout. */
     readonly timeoutMs: number;
-    /** The queue's steps may only run on workers that the advice service names. */
+    /** If set, tasks of the queue may only run on workers that the advice service names. */
     readonly advice: AdviceTerms | undefined;
 }
 
+/** Times of the advice service for a queue. */
 export interface AdviceTerms {
     readonly decisionMs: number;
     readonly perWorkerMs: number;
     readonly validityMs: number;
 }
 
-/** A pool of machines. */
+/** Configuration of a pool of machines. */
 export interface Service {
     readonly name: string;
-    /** Its workers refuse what does not fit; others start whatever they are told to. */
+    /** Its workers reject tasks that don't fit. Workers of other pools start every task that they are told to. */
     readonly rejectsOverload: boolean;
-    /** Its machines are off and cost nothing. */
+    /** The standby pool: its machines are off and cost nothing. */
     readonly isStandby: boolean;
     readonly maxConnections: number;
 }
 
+/** A client account. */
 export interface Tenant {
     readonly name: string;
+    /** API keys of its clients. */
     readonly keys: readonly string[];
-    /** Share of a full fleet. */
+    /** Weight of its share when the fleet is full. */
     readonly weight: number;
-    /** What it may have running on all workers; 0 for no limit. */
+    /** Most that its tasks may use at a time on all workers; 0 for no limit. */
     readonly cap: Resources;
 }
 
-/** Limits on clients' requests. */
+/** Limits on clients' HTTP requests. */
 export interface RequestLimits {
     readonly maxHeaderBytes: number;
     readonly maxBodyBytes: number;
@@ -55,20 +59,23 @@
     readonly idleTimeoutMs: number;
 }
 
-/** The operators' configuration, confirmed by being in the platform's store. */
+/** The operators' configuration. A version is confirmed once it is in the platform's store. */
 export interface Policy {
     readonly version: number;
     readonly routes: readonly Route[];
+    /** Pools by name. */
     readonly services: ReadonlyMap<string, Service>;
     readonly tenants: readonly Tenant[];
     readonly limits: RequestLimits;
 }
 
-/** A maintenance wave that an operator asks for. */
+/** A maintenance wave: an operator's request to take each of these machines down for maintenance once. */
 export interface Wave {
+    /** Number that identifies the wave. */
     readonly wave: number;
     readonly machines: readonly string[];
+    /** Time until which the wave has to be complete, in seconds since it was first seen. */
     readonly completeByS: number;
-    /** Machines of it that may be down at once. */
+    /** Machines of the wave that may be down at once. */
     readonly maxDown: number;
 }
--- a/src/policy/test/policy.feature
+++ b/src/policy/test/policy.feature
@@ -1,35 +1,36 @@
-Feature: What operators ask for is followed
+Feature: Operators' instructions are applied
 
-    Scenario: zones are evacuated and taken back
-        Given an entry that follows the operators' instructions
-        When "zone-a" and "zone-b" are asked to be evacuated
+    Scenario: evacuations of zones begin and end
+        Given an entry that watches the operators' instructions
+        When an evacuation of "zone-a" and "zone-b" is requested
         Then "zone-a, zone-b" are under evacuation
-        When "zone-a" is taken back
+        When the evacuation of "zone-a" is withdrawn
         Then "zone-b" is under evacuation
-        And the log tells of 2 evacuations begun and 1 ended
+        And the log reports 2 evacuations begun and 1 ended
 
-    Scenario: an instruction whose value can't be read
-        Guards against an evacuation that is not followed, since only its key is sure.
+    Scenario: an evacuation whose value can't be decoded
+        Guards against ignoring an evacuation because its value is unreadable: the key alone requests it.
 
-        Given an entry that follows the operators' instructions
-        When "zone-a" is asked to be evacuated by a value that can't be read
+        Given an entry that watches the operators' instructions
+        When an evacuation of "zone-a" is requested with a value that can't be decoded
         Then "zone-a" is under evacuation
 
-    Scenario: evacuations before the entry started
-        Given "zone-a" was asked to be evacuated before
-        And an entry that follows the operators' instructions
+    Scenario: an evacuation requested before the entry started
+        Given an evacuation of "zone-a" was requested before
+        And an entry that watches the operators' instructions
         Then "zone-a" is under evacuation
 
-    Scenario: taken back and begun while the store's history is lost
-        Guards against a zone that stays shut out, or open, since the event was dropped with the history.
+    Scenario: evacuations begin and end while the store loses its history
+        Guards against a zone that stays under evacuation, or is never evacuated, because the event was dropped with the
+        store's history.
 
-        Given an entry that follows the operators' instructions
-        When "zone-a" is asked to be evacuated
-        And the store doesn't answer the entry for 3000 ms, meanwhile "zone-a" is taken back, "zone-b" is evacuated and the history is lost
+        Given an entry that watches the operators' instructions
+        When an evacuation of "zone-a" is requested
+        And the store doesn't answer the entry for 3000 ms, while the evacuation of "zone-a" is withdrawn, one of "zone-b" is requested and the history is lost
         Then "zone-b" is under evacuation
 
-    Scenario Outline: how old the instructions may be for a start
-        Guards against starts by an entry that can't hear of an evacuation.
+    Scenario Outline: maximum age of the instructions for starting tasks
+        Guards against an entry that starts tasks while it can't learn of an evacuation.
 
         Then with instructions <ageMs> ms old and evacuations to be followed within <boundMs> ms starts are <word>
 
--- a/src/policy/test/policy.steps.ts
+++ b/src/policy/test/policy.steps.ts
@@ -34,14 +34,14 @@
     this.clock.uninstall();
 });
 
-/** Longer than a watch waits, so that every change has been heard. */
-const heardMs = 2000;
+/** Longer than one watch waits, so that every change has been received, in milliseconds. */
+const watchDeliveryMs = 2000;
 
 async function pass({ clock }: World, ms: number): Promise<void> {
     await clock.advance(ms);
 }
 
-Given("an entry that follows the operators' instructions", async function(this: World) {
+Given("an entry that watches the operators' instructions", async function(this: World) {
     this.feed = createPolicyFeed({
         store: this.store.connect(entryName),
         decoder,
@@ -49,45 +49,48 @@
         report: (event) => this.log.push(event),
     });
     this.feed.start();
-    await pass(this, heardMs);
+    await pass(this, watchDeliveryMs);
 });
 
-Given("{string} was asked to be evacuated before", function(this: World, zone: string) {
+Given("an evacuation of {string} was requested before", function(this: World, zone: string) {
     this.store.put(evacuationPrefix + zone, "{}");
 });
 
-When("{string} and {string} are asked to be evacuated", async function(this: World, first: string, second: string) {
+When("an evacuation of {string} and {string} is requested", async function(this: World, first: string, second: string) {
     this.store.put(evacuationPrefix + first, "{}");
     this.store.put(evacuationPrefix + second, "{}");
-    await pass(this, heardMs);
+    await pass(this, watchDeliveryMs);
 });
 
-When("{string} is asked to be evacuated", async function(this: World, zone: string) {
+When("an evacuation of {string} is requested", async function(this: World, zone: string) {
     this.store.put(evacuationPrefix + zone, "{}");
-    await pass(this, heardMs);
+    await pass(this, watchDeliveryMs);
 });
 
-When("{string} is asked to be evacuated by a value that can't be read", async function(this: World, zone: string) {
-    this.store.put(evacuationPrefix + zone, "\u0000{");
-    await pass(this, heardMs);
-});
+When(
+    "an evacuation of {string} is requested with a value that can't be decoded",
+    async function(this: World, zone: string) {
+        this.store.put(evacuationPrefix + zone, "\u0000{");
+        await pass(this, watchDeliveryMs);
+    },
+);
 
-When("{string} is taken back", async function(this: World, zone: string) {
+When("the evacuation of {string} is withdrawn", async function(this: World, zone: string) {
     this.store.remove(evacuationPrefix + zone);
-    await pass(this, heardMs);
+    await pass(this, watchDeliveryMs);
 });
 
 When(
-    "the store doesn't answer the entry for {int} ms, meanwhile {string} is taken back, {string} is evacuated and the history is lost",
-    async function(this: World, ms: number, back: string, begun: string) {
+    "the store doesn't answer the entry for {int} ms, while the evacuation of {string} is withdrawn, one of {string} is requested and the history is lost",
+    async function(this: World, ms: number, withdrawn: string, requested: string) {
         this.store.setFault(entryName, "silent");
         await pass(this, ms / 2);
-        this.store.remove(evacuationPrefix + back);
-        this.store.put(evacuationPrefix + begun, "{}");
+        this.store.remove(evacuationPrefix + withdrawn);
+        this.store.put(evacuationPrefix + requested, "{}");
         this.store.forgetHistory();
         await pass(this, ms / 2);
         this.store.setFault(entryName, undefined);
-        await pass(this, heardMs);
+        await pass(this, watchDeliveryMs);
     },
 );
 
@@ -95,7 +98,7 @@
     assert.equal([...this.feed?.evacuatedZones() ?? []].sort().join(", "), expected);
 });
 
-Then("the log tells of {int} evacuations begun and {int} ended", function(this: World, begun: number, ended: number) {
+Then("the log reports {int} evacuations begun and {int} ended", function(this: World, begun: number, ended: number) {
     const changes = this.log.flatMap((event) => event.kind === "evacuation" ? [event.change] : []);
     const counts = ["begun", "ended"].map((kind) => changes.filter((change) => change === kind).length);
     assert.deepEqual(counts, [begun, ended]);
