--- a/src/policy/isFreshForStarts.ts
+++ b/src/policy/isFreshForStarts.ts
@@ -4,7 +4,7 @@
 /**
  * Whether the view of the operators' instructions is recent enough to start tasks.
  *
- * An evacuation may have been requested right after the last answer of the store. An owner that can't learn of it stops
+ * An evacuation may have been requested right after the last answer of the store. A leader that can't learn of it stops
  * all starts before the evacuation has to be followed, in every availability zone.
  *
  * @param ageMs age of the view, in milliseconds: every instruction accepted longer ago is known here; `undefined`
--- a/src/submissions/checkSteps.ts
+++ b/src/submissions/checkSteps.ts
@@ -1,23 +1,25 @@
 import type { SubmissionRequest } from "./submission";
 
-/** Largest payload of a submission, in bytes (limit of the clients' interface). */
+/** Largest payload of a submission, in bytes; a limit of the clients' API. */
 const maxPayloadBytes = 4000;
 
-/** Tells what is wrong with a request; `undefined` where it can be taken. */
+/** Describes what is invalid in a request; `undefined` where it is valid. */
 export function findFault({ payload, steps, schedule }: SubmissionRequest): string | undefined {
     if (Buffer.byteLength(payload) > maxPayloadBytes) {
-        return `the payload is above ${maxPayloadBytes} bytes`;
+        return `the payload exceeds ${maxPayloadBytes} bytes`;
     }
     if (steps.length === 0) {
-        return "there is no step";
+        return "the submission has no steps";
     }
-    for (const [number, step] of steps.entries()) {
+    for (const [index, step] of steps.entries()) {
         if (step.count < 1) {
-            return `step ${number} has no task`;
+            return `step ${index} has no tasks`;
         }
-        if (step.after.some((earlier) => earlier < 0 || earlier >= number)) {
-            return `step ${number} waits for a step that is not before it`;
+        if (step.after.some((earlier) => earlier < 0 || earlier >= index)) {
+            return `step ${index} depends on a step that does not precede it`;
         }
     }
-    return schedule.repeats > 0 && schedule.intervalMs <= 0 ? "a repeated submission needs an interval" : undefined;
+    return schedule.repeats > 0 && schedule.intervalMs <= 0
+        ? "a repeated submission needs an interval above 0 ms"
+        : undefined;
 }
--- a/src/submissions/createDoor.ts
+++ b/src/submissions/createDoor.ts
@@ -23,45 +23,55 @@
     readonly writer: RecordWriter;
     readonly owner: OwnerView;
     readonly report: Reporter;
+    /** Reads the monotonic clock, in milliseconds. */
     readonly steadyMs: () => number;
-    /** A key that was taken away has to stop working everywhere within this time, in milliseconds. */
+    /** A withdrawn API key has to stop working on every entry within this time, in milliseconds. */
     readonly revokeMs: number;
 }
 
-/** Used where neither the client nor the route says how long a request may take, in milliseconds. */
+/** Timeout where neither the client nor the queue sets one, in milliseconds. */
 const defaultTimeoutMs = 3000;
 
-/** Time left for the answer's way back, in milliseconds. */
+/** Part of the client's timeout that is reserved for returning the answer, in milliseconds. */
 const answerMarginMs = 100;
 
-/** A configuration must be this much younger than the bound on withdrawn keys, for the time a request takes here. */
+/**
+ * The configuration must be younger than `revokeMs` by this margin, which covers the time that a request takes here, in
+ * milliseconds.
+ */
 const revokeMarginMs = 500;
 
-/** Clients come back when the store may have recovered: its outages last seconds. */
+/** Clients are asked to retry after this time, in milliseconds: outages of the store last seconds. */
 const storeRetryAfterMs = 1000;
 
-/** A new owner has read what is open after a second or two. */
+/** Clients are asked to retry after this time, in milliseconds: a new leader has read all open work in 1-2 s. */
 const ownerRetryAfterMs = 1000;
 
-/** Pause before a read that got no answer is made again, in milliseconds. */
+/** Pause before a read without an answer is retried, in milliseconds. */
 const storeRetryMs = 150;
 
-/** How long a count may be reused, in milliseconds; it may be 2 s old as a whole. */
+/** How long a count is cached, in milliseconds. Clients may get counts that are up to 2 s old in total. */
 const countReuseMs = 500;
 
-/** Checks requests, stores what is accepted and tells what became of it. */
+/** Checks clients' requests, stores accepted submissions and cancellations, and reports the state of submissions. */
 export function createDoor(opts: DoorOptions): Door {
     const { policySource, store, writer, owner, report, steadyMs } = opts;
     const counts = new Map<string, { readonly count: number; readonly readAtMs: number; }>();
 
     /**
-     * Without news from the store for `revokeMs` a key may have been withdrawn without this entry knowing; to go on
-     * would let work in under it. The entry refuses as unavailable, since the key itself may well be good.
+     * Finds the queue of a request and checks its API key.
+     *
+     * Without an answer of the store for `revokeMs`, a key may have been withdrawn without this entry knowing, and the entry
+     * would accept work under it. It answers "unavailable" instead of rejecting the key, which may still be valid.
      */
-    function admit(call: QueueCall): { policy: Policy; route: Route; tenant: string | undefined; } | Refusal {
+    function authorize(call: QueueCall): { policy: Policy; route: Route; tenant: string | undefined; } | Refusal {
         const [policy, ageMs] = [policySource.policy(), policySource.ageMs()];
         if (policy === undefined || ageMs === undefined) {
-            return { kind: "notInForce", detail: "there is no configuration yet", retryAfterMs: storeRetryAfterMs };
+            return {
+                kind: "notInForce",
+                detail: "no configuration has been received yet",
+                retryAfterMs: storeRetryAfterMs,
+            };
         }
         const route = findRoute(policy, call.host, call.path);
         if (route === undefined) {
@@ -102,7 +112,7 @@
         }
     }
 
-    /** The record of a submission; tried until the client's time is over. */
+    /** Reads the record of a submission, with retries until the client's timeout. */
     async function readRecord(call: QueueCall, id: string) {
         const deadlineMs = deadlineOf(call, undefined);
         for (;;) {
@@ -111,7 +121,7 @@
                 case "found": {
                     const record = decodeRecord(result.item.text);
                     return record === undefined
-                        ? { kind: "unknown", detail: "the record can't be read" } as const
+                        ? { kind: "unknown", detail: "the record can't be decoded" } as const
                         : { kind: "record", record, revision: result.item.revision } as const;
                 }
                 case "missing":
@@ -140,7 +150,7 @@
             case "written":
                 return { kind: "cancelled" };
             case "conflict":
-                // The owner has ended it, or another cancellation came first.
+                // The leader has written its end, or another cancellation was first.
                 return writeCancel(call, id);
             case "notWritten":
                 return unavailable(outcome.detail);
@@ -149,7 +159,12 @@
         }
     }
 
-    function log<R extends { kind: string; detail?: string; }>(call: QueueCall, action: string, id: string, result: R) {
+    function logRequest<R extends { kind: string; detail?: string; }>(
+        call: QueueCall,
+        action: string,
+        id: string,
+        result: R,
+    ) {
         report({
             kind: "request",
             requestId: call.requestId,
@@ -165,59 +180,60 @@
 
     return {
         async accept(call, request) {
-            const admitted = admit(call);
-            if ("kind" in admitted) {
-                return log(call, "accept", request.id, admitted);
+            const authorized = authorize(call);
+            if ("kind" in authorized) {
+                return logRequest(call, "accept", request.id, authorized);
             }
-            const fault = findFault(request);
-            if (fault !== undefined) {
-                return log<AcceptResult>(call, "accept", request.id, { kind: "invalid", detail: fault });
+            const problem = findFault(request);
+            if (problem !== undefined) {
+                return logRequest<AcceptResult>(call, "accept", request.id, { kind: "invalid", detail: problem });
             }
             if (policySource.isStoreLost()) {
-                // Tried all the same, the client would wait out its time and hear that the outcome is not known.
-                return log<AcceptResult>(
+                // An attempt would keep the client waiting until its timeout, with an unknown outcome.
+                return logRequest<AcceptResult>(
                     call,
                     "accept",
                     request.id,
                     unavailable("the store does not answer this entry"),
                 );
             }
-            const submission = toSubmission(request, admitted);
-            return log(call, "accept", request.id, await storeSubmission(call, admitted.route, submission));
+            const submission = toSubmission(request, authorized);
+            return logRequest(call, "accept", request.id, await storeSubmission(call, authorized.route, submission));
         },
         async state(call, id) {
-            const admitted = admit(call);
-            if ("kind" in admitted) {
-                return log(call, "state", id, admitted);
+            const authorized = authorize(call);
+            if ("kind" in authorized) {
+                return logRequest(call, "state", id, authorized);
             }
-            const known = await owner.findState(id);
-            if (known !== undefined) {
-                return { kind: "state", state: known };
+            const leaderState = await owner.findState(id);
+            if (leaderState !== undefined) {
+                return { kind: "state", state: leaderState };
             }
             const read = await readRecord(call, id);
             return read.kind === "record"
                 ? { kind: "state", state: stateOf(read.record) }
-                : log(call, "state", id, read);
+                : logRequest(call, "state", id, read);
         },
         async cancel(call, id) {
-            const admitted = admit(call);
-            return log(call, "cancel", id, "kind" in admitted ? admitted : await writeCancel(call, id));
+            const authorized = authorize(call);
+            return logRequest(call, "cancel", id, "kind" in authorized ? authorized : await writeCancel(call, id));
         },
         async count(call) {
-            const admitted = admit(call);
-            if ("kind" in admitted) {
-                return log(call, "count", "", admitted);
+            const authorized = authorize(call);
+            if ("kind" in authorized) {
+                return logRequest(call, "count", "", authorized);
             }
-            const { name } = admitted.route;
-            const reused = counts.get(name);
-            if (reused !== undefined && steadyMs() - reused.readAtMs < countReuseMs) {
-                return { kind: "count", pendingSubmissions: reused.count };
+            const { name } = authorized.route;
+            const cached = counts.get(name);
+            if (cached !== undefined && steadyMs() - cached.readAtMs < countReuseMs) {
+                return { kind: "count", pendingSubmissions: cached.count };
             }
             const pendingSubmissions = await owner.countPending(name);
             if (pendingSubmissions === undefined) {
-                // The store could tell it too, by all submissions there are. Read by every entry while nobody decides, they
-                // fill the links of small instances for seconds: renewals of leases are late, and the next owner is lost too.
-                return log<CountResult>(call, "count", "", {
+                // A count from the store would need a read of all submissions. If every entry does that while there is no
+                // leader, the network links of small instances are saturated for seconds: leases are renewed too late, and
+                // the next leader is lost as well.
+                return logRequest<CountResult>(call, "count", "", {
                     kind: "ownerUnavailable",
                     retryAfterMs: ownerRetryAfterMs,
                 });
@@ -239,7 +255,7 @@
     return { ...request, tenant, route: route.name, service: route.service, acceptedAtMs: Date.now() };
 }
 
-/** What the record alone tells; whether tasks have started is known to the owner. */
+/** State according to the record alone. Only the leader knows whether tasks have started. */
 function stateOf(record: SubmissionRecord): SubmissionState {
     switch (record.kind) {
         case "final":
--- a/src/submissions/createRecordWriter.ts
+++ b/src/submissions/createRecordWriter.ts
@@ -2,7 +2,7 @@
 import type { CommitResult, Store, StoreItem } from "../store";
 import { maxCommitEntries } from "../store";
 
-/** One key to write if it is at a revision; 0 where it must not exist yet. */
+/** A conditional write: `key` has to be at `revision`, where 0 means that it must not exist. */
 export interface RecordWrite {
     readonly key: string;
     readonly revision: number;
@@ -10,12 +10,12 @@
 }
 
 /**
- * How a write ended.
+ * Outcome of a write.
  *
- * - `written`: it is in the store.
- * - `conflict`: the key is at another revision; the item as it is, absent where the key does not exist.
- * - `notWritten`: the store did not take it and never will.
- * - `unknown`: the time was over while its fate was not known; it may be in the store, now or later.
+ * - `written`: the record is in the store.
+ * - `conflict`: the key is at another revision. `item` is the present item, `undefined` where the key doesn't exist.
+ * - `notWritten`: the record is not in the store and will not get there.
+ * - `unknown`: the deadline passed with a call unanswered; the record may be in the store, or get there later.
  */
 export type WriteOutcome =
     | { readonly kind: "written"; readonly revision: number; }
@@ -24,118 +24,118 @@
     | { readonly kind: "unknown"; readonly detail: string; };
 
 export interface RecordWriter {
-    /** Tries until the deadline on the steady clock. */
+    /** Retries until the deadline, a reading of the monotonic clock in milliseconds. */
     write(write: RecordWrite, deadlineMs: number): Promise<WriteOutcome>;
 }
 
-interface Waiting {
+interface PendingWrite {
     readonly write: RecordWrite;
     readonly deadlineMs: number;
-    /** An earlier call with this write has had no answer: it may be in the store, or get there. */
+    /** An earlier call with this write got no answer: the record may be in the store, or get there later. */
     mayBeWritten: boolean;
     settle(outcome: WriteOutcome): void;
 }
 
-/** Each write takes a condition and a put. */
+/** Each write needs two entries of a commit, a condition and a put. */
 const writesPerCommit = maxCommitEntries / 2;
 
-/** Pause before writes whose call got no answer are sent again, in milliseconds. */
+/** Pause before writes whose call failed are sent again, in milliseconds. */
 const retryMs = 100;
 
-/** Writes this close to their deadline are given up: one call takes about 10 ms with its way there, in milliseconds. */
+/** Writes this close to their deadline are abandoned, in milliseconds: one call takes about 10 ms, network included. */
 const latencyMarginMs = 30;
 
 /**
- * Writes records in groups: one commit is under way, and the next takes all that came meanwhile. At a burst of
- * submissions this needs one call for up to 16 of them; a lone one waits for nothing.
+ * Writes records in batches: one commit is in flight at a time, and the next one takes the writes that arrived meanwhile.
+ * In a burst of submissions one call stores up to 16 of them; a single write is sent without delay.
  */
 export function createRecordWriter(store: Store, steadyMs: () => number): RecordWriter {
-    let queue: Waiting[] = [];
-    let isBusy = false;
+    let queue: PendingWrite[] = [];
+    let isFlushing = false;
 
-    async function drain(): Promise<void> {
-        if (isBusy) {
+    async function flush(): Promise<void> {
+        if (isFlushing) {
             return;
         }
-        isBusy = true;
+        isFlushing = true;
         while (queue.length > 0) {
-            expire();
-            const group = queue.slice(0, writesPerCommit);
+            abandonOverdue();
+            const batch = queue.slice(0, writesPerCommit);
             queue = queue.slice(writesPerCommit);
-            if (group.length > 0) {
-                await writeGroup(group);
+            if (batch.length > 0) {
+                await writeBatch(batch);
             }
         }
-        isBusy = false;
+        isFlushing = false;
     }
 
-    function expire(): void {
+    function abandonOverdue(): void {
         const latestMs = steadyMs() + latencyMarginMs;
-        queue.filter(({ deadlineMs }) => deadlineMs <= latestMs).forEach(giveUp);
+        queue.filter(({ deadlineMs }) => deadlineMs <= latestMs).forEach(abandon);
         queue = queue.filter(({ deadlineMs }) => deadlineMs > latestMs);
     }
 
-    function giveUp(waiting: Waiting): void {
-        waiting.settle({
-            kind: waiting.mayBeWritten ? "unknown" : "notWritten",
-            detail: "the store gave no answer in time",
+    function abandon(pending: PendingWrite): void {
+        pending.settle({
+            kind: pending.mayBeWritten ? "unknown" : "notWritten",
+            detail: "the store did not answer in time",
         });
     }
 
-    async function writeGroup(group: readonly Waiting[]): Promise<void> {
+    async function writeBatch(batch: readonly PendingWrite[]): Promise<void> {
         const result = await store.commit({
-            conditions: group.map(({ write }) => ({ key: write.key, revision: write.revision })),
-            puts: group.map(({ write }) => ({ key: write.key, text: write.text })),
+            conditions: batch.map(({ write }) => ({ key: write.key, revision: write.revision })),
+            puts: batch.map(({ write }) => ({ key: write.key, text: write.text })),
             deletes: [],
         });
-        await applyResult(group, result);
+        await applyResult(batch, result);
     }
 
-    async function applyResult(group: readonly Waiting[], result: CommitResult): Promise<void> {
+    async function applyResult(batch: readonly PendingWrite[], result: CommitResult): Promise<void> {
         switch (result.kind) {
             case "committed":
-                group.forEach(({ settle }) => settle({ kind: "written", revision: result.revision }));
+                batch.forEach(({ settle }) => settle({ kind: "written", revision: result.revision }));
                 return;
             case "conflict":
-                sortOut(group, result.items);
+                settleConflict(batch, result.items);
                 return;
             case "unknown":
-                group.forEach((waiting) => waiting.mayBeWritten = true);
+                batch.forEach((pending) => pending.mayBeWritten = true);
                 break;
             case "unavailable":
             case "leaseEnded":
                 break;
         }
-        queue = [...group, ...queue];
+        queue = [...batch, ...queue];
         await pause(retryMs);
     }
 
-    /** One key that changed fails the whole group: it is answered, and the others are sent again. */
-    function sortOut(group: readonly Waiting[], items: readonly StoreItem[]): void {
-        const found = new Map(items.map((item) => [item.key, item]));
-        const again: Waiting[] = [];
-        for (const waiting of group) {
-            const { key, revision, text } = waiting.write;
-            const item = found.get(key);
+    /** One changed key fails the commit of the whole batch. Its write is settled here, and the others are sent again. */
+    function settleConflict(batch: readonly PendingWrite[], items: readonly StoreItem[]): void {
+        const present = new Map(items.map((item) => [item.key, item]));
+        const retried: PendingWrite[] = [];
+        for (const pending of batch) {
+            const { key, revision, text } = pending.write;
+            const item = present.get(key);
             if ((item?.revision ?? 0) === revision) {
-                again.push(waiting);
+                retried.push(pending);
             }
             else if (item !== undefined && item.text === text) {
-                // An earlier call of ours, whose answer was lost.
-                waiting.settle({ kind: "written", revision: item.revision });
+                // Written by an earlier call of this writer whose answer was lost.
+                pending.settle({ kind: "written", revision: item.revision });
             }
             else {
-                waiting.settle({ kind: "conflict", item });
+                pending.settle({ kind: "conflict", item });
             }
         }
-        queue = [...again, ...queue];
+        queue = [...retried, ...queue];
     }
 
     return {
         write: (write, deadlineMs) =>
             new Promise((settle) => {
                 queue.push({ write, deadlineMs, mayBeWritten: false, settle });
-                void drain();
+                void flush();
             }),
     };
 }
--- a/src/submissions/door.ts
+++ b/src/submissions/door.ts
@@ -1,31 +1,36 @@
 import type { Policy } from "../policy";
 import type { SubmissionRequest, SubmissionState } from "./submission";
 
-/** What every request to a queue carries. */
+/** What every client request to a queue carries, apart from its body. */
 export interface QueueCall {
-    /** For the log lines of this request. */
+    /** Identifies the request in log lines. */
     readonly requestId: string;
     readonly host: string;
     readonly path: string;
+    /** API key; `undefined` where the request has none. */
     readonly key: string | undefined;
-    /** How long the client waits for the answer, in milliseconds; `undefined` where it does not say. */
+    /** How long the client waits for the answer, in milliseconds; `undefined` where it sets no timeout. */
     readonly timeoutMs: number | undefined;
 }
 
-/** Why a request was not carried out. Nothing of a refused request ever runs, but for `unknown`. */
+/** Why a request was not carried out. No task of a refused request ever runs, except with `unknown`. */
 export type Refusal =
-    /** No configuration yet, or one that is too old to tell whether the key still holds. */
+    /** There is no configuration yet, or it is too old to tell whether the key is still valid. */
     | { readonly kind: "notInForce"; readonly detail: string; readonly retryAfterMs: number; }
+    /** No queue has this host and path. */
     | { readonly kind: "noRoute"; }
+    /** The API key is missing or unknown. */
     | { readonly kind: "badKey"; }
+    /** The submission is malformed. */
     | { readonly kind: "invalid"; readonly detail: string; }
-    /** The store took nothing, so the submission was not accepted and never runs. */
+    /** The store is unavailable and nothing was written, so a new submission was not accepted and never runs. */
     | { readonly kind: "storeUnavailable"; readonly detail: string; readonly retryAfterMs: number; }
-    /** Nobody decides just now, or whoever does is not reached: what only the owner knows can't be told. */
+    /** There is no leader at the moment, or it can't be reached, and only the leader knows the answer. */
     | { readonly kind: "ownerUnavailable"; readonly retryAfterMs: number; }
-    /** Whether it was stored is not known; the same request may be sent again. */
+    /** It is not known whether the request was stored; the client may send the same request again. */
     | { readonly kind: "unknown"; readonly detail: string; };
 
+/** `isNew` is false where the same submission was stored before. */
 export type AcceptResult = { readonly kind: "accepted"; readonly isNew: boolean; } | Refusal;
 export type StateResult = { readonly kind: "state"; readonly state: SubmissionState; } | {
     readonly kind: "gone";
@@ -33,25 +38,31 @@
 export type CancelResult = { readonly kind: "cancelled"; } | { readonly kind: "gone"; } | Refusal;
 export type CountResult = { readonly kind: "count"; readonly pendingSubmissions: number; } | Refusal;
 
-/** What the owner of the scheduling duty tells entries; each may be without an answer. */
+/** Questions to the leader of the scheduling; each answer is `undefined` where the leader can't be reached. */
 export interface OwnerView {
-    /** `undefined`: the owner cannot be reached or does not know the submission. */
+    /** `undefined` also where the leader doesn't know the submission. */
     findState(id: string): Promise<SubmissionState | undefined>;
+    /** Number of pending submissions of a queue. */
     countPending(route: string): Promise<number | undefined>;
 }
 
-/** The configuration and how old it is. */
+/** The newest configuration, and the age of this entry's view of it. */
 export interface PolicySource {
     policy(): Policy | undefined;
+    /** Age of the view, in milliseconds; `undefined` before the store's first answer. */
     ageMs(): number | undefined;
-    /** The store has stopped answering, also through other entries. */
+    /** The store answers neither directly nor through other entries. */
     isStoreLost(): boolean;
 }
 
-/** Takes clients' requests about submissions. */
+/** Handles clients' requests about submissions. */
 export interface Door {
+    /** Stores a submission; "accepted" is only answered once it is stored. */
     accept(call: QueueCall, request: SubmissionRequest): Promise<AcceptResult>;
+    /** Reads the state of a submission. */
     state(call: QueueCall, id: string): Promise<StateResult>;
+    /** Stores the cancellation of a submission. */
     cancel(call: QueueCall, id: string): Promise<CancelResult>;
+    /** Counts the pending submissions of a queue. */
     count(call: QueueCall): Promise<CountResult>;
 }
--- a/src/submissions/index.ts
+++ b/src/submissions/index.ts
@@ -1,4 +1,4 @@
-/** Submissions: what clients hand in, how it is stored, and the door that takes their requests. */
+/** Submissions: their types, their records in the store, and the API for clients' requests about them. */
 export { createDoor } from "./createDoor";
 export { createRecordWriter, type RecordWriter } from "./createRecordWriter";
 export type { AcceptResult, CancelResult, CountResult, Door, OwnerView, QueueCall, Refusal, StateResult } from "./door";
--- a/src/submissions/record.ts
+++ b/src/submissions/record.ts
@@ -1,9 +1,9 @@
 import type { FinalState, Submission } from "./submission";
 
-/** Where submissions lie in the store; written by the entry that takes one, ended by the owner. */
+/** Key prefix of submissions in the store. The entry that accepts one writes its record; the leader writes its end. */
 export const submissionPrefix = "samphirepin/sub/";
 
-/** What the store holds of a submission under `submissionPrefix` and its id. */
+/** Record of a submission in the store, under `submissionPrefix` followed by its id. */
 export type SubmissionRecord =
     | { readonly kind: "open"; readonly submission: Submission; readonly isCancelled: boolean; }
     | { readonly kind: "final"; readonly route: string; readonly state: FinalState; readonly endedAtMs: number; };
@@ -16,7 +16,7 @@
     return JSON.stringify(record);
 }
 
-/** Gives `undefined` for text that is no record; nothing but this product writes there. */
+/** Returns `undefined` for text that isn't a record. Contents are not checked further: only this software writes there. */
 export function decodeRecord(text: string): SubmissionRecord | undefined {
     try {
         const record = JSON.parse(text) as SubmissionRecord;
--- a/src/submissions/submission.ts
+++ b/src/submissions/submission.ts
@@ -1,59 +1,65 @@
 import type { Resources } from "../resources";
 
-/** Equal tasks of a submission that may run side by side. */
+/** A step of a submission: equal tasks that may run in parallel. */
 export interface Step {
     readonly count: number;
     readonly size: Resources;
-    /** Rough, as the client declared it. */
+    /** Expected run time of one task, a rough figure that the client declares. */
     readonly estimateMs: number;
-    /** Numbers of earlier steps that have to be done first. */
+    /** Indexes of earlier steps that have to be complete first. */
     readonly after: readonly number[];
+    /** The tasks write checkpoints. */
     readonly hasCheckpoints: boolean;
-    /** All tasks work only together and end together. */
+    /** Gang: the tasks make progress only while all of them run, and they end together. */
     readonly isGang: boolean;
-    /** The tasks are slower when they run on more than one rack. */
+    /** The tasks are slower when they are spread over more than one rack. */
     readonly isSingleRack: boolean;
-    /** Label that the worker must have. */
+    /** Label that a worker must have to run the tasks; `undefined` for any worker. */
     readonly workerLabel: string | undefined;
-    /** Rack where the data lies; elsewhere the tasks are slower. */
+    /** Rack that holds the data; on other racks the tasks are slower. */
     readonly dataRack: string | undefined;
-    /** Tasks of one occurrence on one worker at most; 0 for no limit. */
+    /** Most tasks of one occurrence on one worker; 0 for no limit. */
     readonly maxPerWorker: number;
-    /** Copies of a task may run in parallel; the first to finish counts. */
+    /** Speculative runs of a task are allowed in parallel; the first to finish counts. */
     readonly isSpeculative: boolean;
-    /** The tasks run until the submission is cancelled and are restarted however they end. */
+    /** The tasks run until the submission is cancelled, and are restarted whenever they end. */
     readonly isLongRunning: boolean;
-    /** What the tasks run; tasks of one image behave alike. */
+    /** Image that the tasks run. Tasks of one image are assumed to behave alike. */
     readonly image: string | undefined;
-    /** Latency that users of a long-running task should see at most; 0 for none. */
+    /** Target for the highest latency that users of a long-running task see; 0 for none. */
     readonly targetLatencyMs: number;
-    /** The tasks take the processor time that others leave, and reserve none. */
+    /** Filler: the tasks use processor time that other tasks leave idle, and reserve none. */
     readonly isFiller: boolean;
-    /** Tasks of the step that may be away at once by the system's doing. */
+    /** Most tasks of the step that the system itself may keep from running at the same time. */
     readonly maxUnavailable: number;
 }
 
-/** Steps that run `repeats` times at fixed intervals; 0 repeats for once, at once. */
+/** When the steps run: `repeats` times at fixed intervals, or once and immediately where `repeats` is 0. */
 export interface Schedule {
     readonly repeats: number;
+    /** Start of the first occurrence, in milliseconds since 1970. */
     readonly startAtMs: number;
     readonly intervalMs: number;
 }
 
-/** What a client handed in. */
+/** A submission as the client sends it. */
 export interface SubmissionRequest {
     readonly id: string;
-    /** Passed to the workers as it came. */
+    /** Passed to the workers unchanged. */
     readonly payload: string;
     readonly steps: readonly Step[];
     readonly schedule: Schedule;
 }
 
+/** An accepted submission. */
 export interface Submission extends SubmissionRequest {
-    /** The client account whose key came with it; `undefined` on public routes. */
+    /** Client account whose API key was sent with it; `undefined` for public queues. */
     readonly tenant: string | undefined;
+    /** Name of the queue. */
     readonly route: string;
+    /** Name of the pool that the queue had when the submission was accepted. */
     readonly service: string;
+    /** Milliseconds since 1970. */
     readonly acceptedAtMs: number;
 }
 
--- a/src/submissions/test/submissions.feature
+++ b/src/submissions/test/submissions.feature
@@ -1,107 +1,110 @@
-Feature: Clients' requests are answered truthfully
+Feature: Answers to clients' requests match what is stored
 
     Scenario: a submission is stored before it is accepted
-        When a submission is handed in
+        When a submission is submitted
         Then the answer is "accepted"
         And the submission is in the store
 
-    Scenario: the same submission again
-        After a broken connection the client sends it again, to any entry. Stored twice, its tasks would run twice.
+    Scenario: the same submission is sent twice
+        Guards against tasks that run twice: after a broken connection the client sends its submission again, to any entry.
 
-        When a submission is handed in
-        And it is handed in again
+        When a submission is submitted
+        And it is submitted again
         Then the answer is "accepted"
 
-    Scenario: many submissions at once take few calls
-        When 40 submissions are handed in at once
+    Scenario: concurrent submissions are stored in few calls
+        When 40 submissions are submitted concurrently
         Then all are accepted
         And the store has had at most 5 calls
 
-    Scenario: the store refuses
-        "Not accepted" has to be true: nothing of the submission may ever run.
+    Scenario: the store refuses the write
+        Guards against a submission that is answered as not accepted and runs all the same.
 
         Given the store is "refused"
-        When a submission is handed in
+        When a submission is submitted
         Then the answer is "storeUnavailable"
         And the submission is not in the store
 
     Scenario: the store's answer is lost
-        The write has been done. To say that it was not accepted would be untrue; the client would see its tasks run all the
+        Guards against the answer "not accepted" for a write that was applied: the client would see its tasks run all the
         same.
 
         Given the store is "answerLost"
-        When a submission is handed in
+        When a submission is submitted
         Then the answer is "unknown"
 
-    Scenario: the store's answer is lost once
+    Scenario: the store's answers are lost for a while
         Given the store is "answerLost"
-        When a submission is handed in, and the store is well after 1000 ms
+        When a submission is submitted, and the store recovers after 1000 ms
         Then the answer is "accepted"
         And the submission is in the store
 
-    Scenario: a late write
+    Scenario: the store applies the write late
         Given the store is "late"
-        When a submission is handed in
+        When a submission is submitted
         Then the answer is "unknown"
 
-    Scenario: a store that is known to be lost
-        The entry's zone is cut off. A client that is kept waiting until its time is over could have gone elsewhere.
+    Scenario: the store is known to be unreachable
+        Guards against a client that waits until its timeout on an entry whose zone is cut off, though it could have used
+        another entry.
 
         Given the store is "silent"
-        And the store has been lost
-        When a submission is handed in
+        And the entry knows that the store is unreachable
+        When a submission is submitted
         Then the answer is "storeUnavailable"
         And the answer came within 50 ms
         And the submission is not in the store
 
-    Scenario: an unknown queue
-        When a submission is handed in at "/none/"
+    Scenario: a request to an unknown queue
+        When a submission is submitted at "/none/"
         Then the answer is "noRoute"
 
-    Scenario: an unknown key
-        When a submission is handed in with the key "other"
+    Scenario: a request with an unknown key
+        When a submission is submitted with the key "other"
         Then the answer is "badKey"
 
     Scenario: the configuration is too old to trust a key
-        The entry is cut off from the store and from its peers. A key that was withdrawn meanwhile would still let work in.
+        Guards against work that is accepted under a withdrawn key, by an entry that is cut off from the store and from its
+        peers.
 
         Given the configuration was confirmed 4800 ms ago
-        When a submission is handed in
+        When a submission is submitted
         Then the answer is "notInForce"
 
     Scenario: no configuration yet
         Given there is no configuration
-        When a submission is handed in
+        When a submission is submitted
         Then the answer is "notInForce"
 
-    Scenario: a step that waits for a later one
-        When a submission is handed in whose first step waits for the second
+    Scenario: a step that depends on a later one
+        When a submission is submitted whose first step depends on the second
         Then the answer is "invalid"
         And the submission is not in the store
 
     Scenario: a cancellation is stored before it is answered
-        When a submission is handed in
+        When a submission is submitted
         And it is cancelled
         Then the answer is "cancelled"
         And the submission is stored as cancelled
 
-    Scenario: a cancellation of what does not exist
-        When a submission that nobody handed in is cancelled
+    Scenario: a submission that doesn't exist is cancelled
+        When a submission that was never submitted is cancelled
         Then the answer is "gone"
 
-    Scenario: a state without an owner
-        The owner has been killed and nobody has taken over yet. The client still gets an answer, from the store.
+    Scenario: a state is read while there is no leader
+        Guards against a client without an answer after the leader was killed and before another entry has taken over: the
+        state is read from the store.
 
-        When a submission is handed in
-        And its state is asked for
+        When a submission is submitted
+        And its state is requested
         Then the state is "pending"
 
-    Scenario: a queue is counted while nobody decides
-        The owner of a large fleet is gone for a moment, and operators ask every entry how much waits. If each reads all
-        submissions from the store to tell, the links of small instances are full for seconds, clients' requests run out of
-        time, and the next owner's lease can't be renewed.
+    Scenario: a queue is counted while there is no leader
+        Guards against counts that read all submissions from the store. While a large fleet has no leader for a moment,
+        operators ask every entry for counts. The network links of small instances would be saturated for seconds, clients'
+        requests would time out, and the next leader couldn't renew its lease.
 
         Given 40 submissions are in the store
         When the queue is counted
         Then the answer is "ownerUnavailable"
-        And counting took no call of the store
+        And the count made no call to the store
--- a/src/submissions/test/submissions.steps.ts
+++ b/src/submissions/test/submissions.steps.ts
@@ -12,8 +12,8 @@
     policy: Policy | undefined;
     ageMs: number | undefined;
     isStoreLost: boolean;
-    askedAtMs: number;
-    callsBefore: number;
+    requestedAtMs: number;
+    storeCallsBefore: number;
     answers: { readonly kind: string; readonly state?: string; }[];
 }
 
@@ -43,11 +43,11 @@
     this.clock.uninstall();
 });
 
-function callOf(path: string, key: string) {
+function createContext(path: string, key: string) {
     return { requestId: id, host: "stalls.example", path, key, timeoutMs: 3000 };
 }
 
-function requestOf(steps: readonly Partial<Step>[], name = id) {
+function createRequest(steps: readonly Partial<Step>[], name = id) {
     return {
         id: name,
         payload: "payload",
@@ -56,19 +56,19 @@
     };
 }
 
-async function finish(world: World, call: Promise<{ readonly kind: string; }>): Promise<void> {
-    let isOver = false;
+async function waitForAnswer(world: World, call: Promise<{ readonly kind: string; }>): Promise<void> {
+    let isSettled = false;
     void call.then((answer) => {
         world.answers.push(answer);
-        isOver = true;
+        isSettled = true;
     });
-    for (let waitedMs = 0; !isOver && waitedMs < 10_000; waitedMs += 10) {
+    for (let waitedMs = 0; !isSettled && waitedMs < 10_000; waitedMs += 10) {
         await world.clock.advance(10);
     }
 }
 
-function handIn(world: World, path = `/stalls/${id}`, key = "key-1", steps: readonly Partial<Step>[] = [{}]) {
-    return finish(world, world.door.accept(callOf(path, key), requestOf(steps)));
+function submit(world: World, path = `/stalls/${id}`, key = "key-1", steps: readonly Partial<Step>[] = [{}]) {
+    return waitForAnswer(world, world.door.accept(createContext(path, key), createRequest(steps)));
 }
 
 Given("the store is {string}", function(this: World, fault: StoreFault) {
@@ -79,79 +79,82 @@
     this.ageMs = ageMs;
 });
 
-Given("the store has been lost", function(this: World) {
+Given("the entry knows that the store is unreachable", function(this: World) {
     this.isStoreLost = true;
-    this.askedAtMs = performance.now();
+    this.requestedAtMs = performance.now();
 });
 
 Then("the answer came within {int} ms", function(this: World, ms: number) {
-    assert.ok(performance.now() - this.askedAtMs <= ms);
+    assert.ok(performance.now() - this.requestedAtMs <= ms);
 });
 
 Given("there is no configuration", function(this: World) {
     this.policy = undefined;
 });
 
-When("a submission is handed in", async function(this: World) {
-    await handIn(this);
+When("a submission is submitted", async function(this: World) {
+    await submit(this);
 });
 
-When("it is handed in again", async function(this: World) {
-    await handIn(this);
+When("it is submitted again", async function(this: World) {
+    await submit(this);
 });
 
-When("a submission is handed in, and the store is well after {int} ms", async function(this: World, ms: number) {
+When("a submission is submitted, and the store recovers after {int} ms", async function(this: World, ms: number) {
     setTimeout(() => this.store.setFault("entry-1", undefined), ms);
-    await handIn(this);
+    await submit(this);
 });
 
-When("a submission is handed in at {string}", async function(this: World, prefix: string) {
-    await handIn(this, prefix + id);
+When("a submission is submitted at {string}", async function(this: World, prefix: string) {
+    await submit(this, prefix + id);
 });
 
-When("a submission is handed in with the key {string}", async function(this: World, key: string) {
-    await handIn(this, `/stalls/${id}`, key);
+When("a submission is submitted with the key {string}", async function(this: World, key: string) {
+    await submit(this, `/stalls/${id}`, key);
 });
 
-When("a submission is handed in whose first step waits for the second", async function(this: World) {
-    await handIn(this, `/stalls/${id}`, "key-1", [{ after: [1] }, {}]);
+When("a submission is submitted whose first step depends on the second", async function(this: World) {
+    await submit(this, `/stalls/${id}`, "key-1", [{ after: [1] }, {}]);
 });
 
 Given("{int} submissions are in the store", async function(this: World, count: number) {
-    for (let at = 0; at < count; at++) {
-        const name = at.toString(16).padStart(16, "0");
-        await finish(this, this.door.accept(callOf(`/stalls/${name}`, "key-1"), requestOf([{}], name)));
+    for (let index = 0; index < count; index++) {
+        const name = index.toString(16).padStart(16, "0");
+        await waitForAnswer(
+            this,
+            this.door.accept(createContext(`/stalls/${name}`, "key-1"), createRequest([{}], name)),
+        );
     }
     this.answers = [];
-    this.callsBefore = this.store.calls("entry-1");
+    this.storeCallsBefore = this.store.calls("entry-1");
 });
 
 When("the queue is counted", async function(this: World) {
-    await finish(this, this.door.count(callOf("/stalls/", "key-1")));
+    await waitForAnswer(this, this.door.count(createContext("/stalls/", "key-1")));
 });
 
-Then("counting took no call of the store", function(this: World) {
-    assert.equal(this.store.calls("entry-1"), this.callsBefore);
+Then("the count made no call to the store", function(this: World) {
+    assert.equal(this.store.calls("entry-1"), this.storeCallsBefore);
 });
 
-When("{int} submissions are handed in at once", async function(this: World, count: number) {
-    const names = Array.from({ length: count }, (_, at) => at.toString(16).padStart(16, "0"));
+When("{int} submissions are submitted concurrently", async function(this: World, count: number) {
+    const names = Array.from({ length: count }, (_, index) => index.toString(16).padStart(16, "0"));
     const calls = names.map(async (name) => {
-        this.answers.push(await this.door.accept(callOf(`/stalls/${name}`, "key-1"), requestOf([{}], name)));
+        this.answers.push(await this.door.accept(createContext(`/stalls/${name}`, "key-1"), createRequest([{}], name)));
     });
-    await finish(this, Promise.all(calls).then(() => ({ kind: "accepted" })));
+    await waitForAnswer(this, Promise.all(calls).then(() => ({ kind: "accepted" })));
 });
 
 When("it is cancelled", async function(this: World) {
-    await finish(this, this.door.cancel(callOf(`/stalls/${id}`, "key-1"), id));
+    await waitForAnswer(this, this.door.cancel(createContext(`/stalls/${id}`, "key-1"), id));
 });
 
-When("a submission that nobody handed in is cancelled", async function(this: World) {
-    await finish(this, this.door.cancel(callOf(`/stalls/${id}`, "key-1"), id));
+When("a submission that was never submitted is cancelled", async function(this: World) {
+    await waitForAnswer(this, this.door.cancel(createContext(`/stalls/${id}`, "key-1"), id));
 });
 
-When("its state is asked for", async function(this: World) {
-    await finish(this, this.door.state(callOf(`/stalls/${id}`, "key-1"), id));
+When("its state is requested", async function(this: World) {
+    await waitForAnswer(this, this.door.state(createContext(`/stalls/${id}`, "key-1"), id));
 });
 
 Then("the answer is {string}", function(this: World, kind: string) {
