--- a/src/machines/chooseMoves.ts
+++ b/src/machines/chooseMoves.ts
@@ -1,34 +1,35 @@
-/** A machine that could join another pool now. */
+/** A machine without work, which could join another pool now. */
 export interface IdleMachine {
     readonly id: string;
     readonly pool: string;
     readonly cpuMillis: number;
     /** How long it has had nothing to do, in milliseconds. */
     readonly idleMs: number;
-    /** Its availability zone is under evacuation: it can be parked, and is of no use to any pool. */
+    /** Its availability zone is under evacuation: it can be moved to the standby pool, but is of no use to any other pool. */
     readonly isEvacuated: boolean;
 }
 
-/** What a pool needs and has; processors in thousandths, without those of long-running tasks that have their place. */
+/** Demand and capacity of a pool. Processors are in thousandths, without those of long-running tasks that have a worker. */
 export interface PoolDemand {
     readonly pool: string;
     readonly isStandby: boolean;
     /** Processors that ready tasks wait for. */
     readonly waitingCpuMillis: number;
-    /** The part of it for which no single worker has a place, however much is free in all. */
+    /** The part of it that fits on no single worker, however much is free in total. */
     readonly unplaceableCpuMillis: number;
-    /** Processors that it needs by when a machine that is sent now has joined. */
+    /** Processors that it needs by the time at which a machine that is sent now has joined. */
     readonly neededCpuMillis: number;
-    /** Processors that its workers have. */
+    /** Processors of its workers. */
     readonly roomCpuMillis: number;
     /** Processors of machines on their way to it. */
     readonly comingCpuMillis: number;
-    /** Processors beyond its need that are left to it while it has little to do. */
+    /** Processors beyond its need that it keeps while it has little to do. */
     readonly reserveCpuMillis: number;
-    /** Machines that serve it, without those that are kept free of work to be moved or maintained. */
+    /** Number of machines that serve it, without those that are kept free of work for a move or for maintenance. */
     readonly machines: number;
 }
 
+/** A move of a machine between two pools. */
 export interface MoveChoice {
     readonly machine: string;
     readonly from: string;
@@ -39,48 +40,49 @@
 export interface MoveOptions {
     readonly pools: readonly PoolDemand[];
     readonly idle: readonly IdleMachine[];
-    /** Machines that cannot join a pool, as "machine pool". */
+    /** Moves that the platform has answered as impossible: machine id and pool name, separated by a space. */
     readonly impossible: ReadonlySet<string>;
-    /** Moves at most at once; the platform takes a bounded number of orders a second. */
+    /** Most moves to choose; the platform takes a limited number of orders a second. */
     readonly maxMoves: number;
 }
 
 /**
- * Room that a pool gets for each processor that it needs: tasks take a tenth to a third of a machine each, and the holes
- * that they leave add up to a tenth and more.
+ * Capacity that a pool gets for each processor that it needs. Tasks take a tenth to a third of a machine each, and
+ * fragmentation leaves a tenth of the capacity and more unused.
  */
-const roomFactor = 1.2;
+const fragmentationFactor = 1.2;
 
 /**
- * Part of a machine that has to be missing in a pool before one is sent there. A move costs about as much as 1.1 s of a
- * machine in a pool, so it pays where the machine finds about a second of work for a third of its processors.
+ * Least shortage for which a machine is sent to a pool, as a share of the machine's processors. A move costs about as much
+ * as a machine in a pool for 1.1 s, so it pays off if the machine finds about a second of work for a third of its
+ * processors.
  */
 export const leastMissingShare = 0.3;
 
 /**
- * A machine beyond what its pool needs is parked in the standby pool after this time without work, in milliseconds: about
- * what the move costs.
+ * A machine that its pool doesn't need goes to the standby pool after this time without work, in milliseconds. Staying idle
+ * that long costs about as much as the move.
  */
-const parkAfterMs = 1200;
+const standbyAfterMs = 1200;
 
-/** Machines that each pool keeps, so that its first task does not wait for one to join. */
-const keptMachines = 1;
+/** Machines that each pool keeps, so that its first task doesn't wait for a machine to join. */
+const minMachinesPerPool = 1;
 
-/** Processors that a pool lacks (above 0) or could do without (below 0), in thousandths. */
+/** Processors that a pool lacks (above 0) or has to spare (below 0), in thousandths. */
 export function findShortage(pool: PoolDemand): number {
-    const missing = pool.neededCpuMillis * roomFactor - pool.roomCpuMillis;
+    const missing = pool.neededCpuMillis * fragmentationFactor - pool.roomCpuMillis;
     return Math.max(missing, pool.unplaceableCpuMillis > 0 ? pool.unplaceableCpuMillis : missing)
         - pool.comingCpuMillis;
 }
 
 /**
- * Which machines should change pools now.
+ * Chooses the machines that change pools now.
  *
- * Demand turns from queue to queue: in its turn each asks several times what its pool holds. Idle machines go, one by
- * one, to the pool that is shortest of processors, whether for what waits or for what arrives; those that are off go
- * first, then those that have stood idle longest. Machines that no pool needs are parked, also before a pool has had any
- * work: from the standby pool they join any pool as fast as from another one, and cost nothing meanwhile. Machines of an
- * availability zone under evacuation are sent nowhere but there.
+ * The queues have busy periods at different times, in which a queue needs several times the capacity of its pool. Idle
+ * machines go, one by one, to the pool with the largest shortage, whether for waiting or for arriving work. Machines of
+ * the standby pool go first, then those that have been idle longest. Machines that no pool needs go to the standby pool,
+ * even if their pool has had no work yet: from there they join any pool as fast as from another pool, and meanwhile cost
+ * nothing. Machines in an availability zone under evacuation go only to the standby pool.
  */
 export function chooseMoves(opts: MoveOptions): readonly MoveChoice[] {
     const pools = new Map(opts.pools.map((pool) => [pool.pool, pool]));
@@ -92,11 +94,11 @@
     const idle = [...opts.idle].sort((a, b) => rank(a) - rank(b) || b.idleMs - a.idleMs);
     const choices: MoveChoice[] = [];
     while (choices.length < opts.maxMoves) {
-        const [to, short] = [...shortage].reduce((most, pool) => pool[1] > most[1] ? pool : most, ["", 0]);
-        const isStuck = (pools.get(to)?.unplaceableCpuMillis ?? 0) > 0;
+        const [to, short] = [...shortage].reduce((largest, pool) => pool[1] > largest[1] ? pool : largest, ["", 0]);
+        const isUnplaceable = (pools.get(to)?.unplaceableCpuMillis ?? 0) > 0;
         const index = idle.findIndex(({ id, pool, cpuMillis, isEvacuated }) =>
             pool !== to && !isEvacuated && !opts.impossible.has(`${id} ${to}`)
-            && (isStuck ? short > 0 : short >= leastMissingShare * cpuMillis)
+            && (isUnplaceable ? short > 0 : short >= leastMissingShare * cpuMillis)
             && (pool === standby || (shortage.get(pool) ?? 0) + cpuMillis <= 0)
         );
         const [machine] = index < 0 ? [] : idle.splice(index, 1);
@@ -107,17 +109,22 @@
         if (machine.pool !== standby) {
             shortage.set(machine.pool, (shortage.get(machine.pool) ?? 0) + machine.cpuMillis);
         }
-        choices.push({ machine: machine.id, from: machine.pool, to, reason: `${Math.round(short)} cpu millis wait` });
+        choices.push({
+            machine: machine.id,
+            from: machine.pool,
+            to,
+            reason: `the pool lacks ${Math.round(short)} millicores`,
+        });
     }
-    return [...choices, ...park(idle, standby, shortage, pools, opts.maxMoves - choices.length)];
+    return [...choices, ...chooseStandbyMoves(idle, standby, shortage, pools, opts.maxMoves - choices.length)];
 }
 
-function park(
+function chooseStandbyMoves(
     idle: readonly IdleMachine[],
     standby: string | undefined,
     shortage: Map<string, number>,
     pools: ReadonlyMap<string, PoolDemand>,
-    most: number,
+    maxMoves: number,
 ): readonly MoveChoice[] {
     const choices: MoveChoice[] = [];
     if (standby === undefined) {
@@ -125,11 +132,12 @@
     }
     const machines = new Map([...pools.values()].map(({ pool, machines: count }) => [pool, count]));
     for (const { id, pool, cpuMillis, idleMs, isEvacuated } of idle) {
-        // Its pool's room and count do not include a machine under evacuation.
+        // The capacity and machine count of its pool don't include a machine under evacuation.
         const without = (shortage.get(pool) ?? 0) + (isEvacuated ? 0 : cpuMillis);
         const left = (machines.get(pool) ?? 0) - (isEvacuated ? 0 : 1);
-        const isSpare = without + (pools.get(pool)?.reserveCpuMillis ?? 0) <= 0 && left >= keptMachines || isEvacuated;
-        if (choices.length < most && pool !== standby && idleMs >= parkAfterMs && isSpare) {
+        const isSpare = without + (pools.get(pool)?.reserveCpuMillis ?? 0) <= 0 && left >= minMachinesPerPool
+            || isEvacuated;
+        if (choices.length < maxMoves && pool !== standby && idleMs >= standbyAfterMs && isSpare) {
             shortage.set(pool, without);
             machines.set(pool, left);
             choices.push({ machine: id, from: pool, to: standby, reason: `idle for ${Math.round(idleMs)} ms` });
--- a/src/machines/chooseUpkeep.ts
+++ b/src/machines/chooseUpkeep.ts
@@ -3,53 +3,56 @@
 
 export interface UpkeepOptions {
     readonly wave: Wave;
+    /** Machines of the fleet, by id. */
     readonly machines: ReadonlyMap<string, Machine>;
-    /** Machines whose upkeep for this wave has begun. */
+    /** Machines whose maintenance for this wave has begun. */
     readonly begun: ReadonlySet<string>;
-    /** Machines that have been gone from the platform's list long enough to count as removed. */
+    /** Machines that have been absent from the platform's list for long enough to count as removed. */
     readonly removed: ReadonlySet<string>;
-    /** Machines whose upkeep was ordered and that have not been seen back. */
+    /** Machines whose maintenance was ordered and that have not been seen up again. */
     readonly down: ReadonlySet<string>;
-    /** Runs that a machine still has; `undefined` where that is not known. */
+    /** Number of runs on a machine; `undefined` where it is not known. */
     readonly runsOn: (machine: Machine) => number | undefined;
-    /** Whether a machine's pool can't do without it, or it is on its way to one that waits for it. */
+    /** Whether the machine's pool can't spare it, or it is on its way to a pool that waits for it. */
     readonly isNeeded: (machine: Machine) => boolean;
-    /** There is time enough to leave machines alone that are needed. */
+    /** The wave has enough time left to put off machines that are needed. */
     readonly mayWait: boolean;
-    /** Machines that are being emptied for the wave. */
+    /** Whether a machine is being emptied for the wave. */
     readonly isEmptying: (id: string) => boolean;
-    /** Machines that can't be used anyway, as their availability zone is under evacuation. */
+    /** Whether a machine can't be used anyway, because its availability zone is under evacuation. */
     readonly isUnused: (machine: Machine) => boolean;
 }
 
+/** What happens next in a wave. */
 export interface UpkeepChoice {
     /** Machines that can go down now. */
     readonly now: readonly string[];
-    /** Machines to be emptied: those that go next. */
+    /** Machines to empty, which go down next. */
     readonly prepare: readonly string[];
+    /** The maintenance of each machine of the wave has begun, or the machine was removed. */
     readonly isComplete: boolean;
 }
 
 /**
- * Machines that are emptied ahead, beyond those that may be down at once. Emptying takes about as long as an upkeep, and
- * a wave of one machine at a time would otherwise take twice as long.
+ * Machines that are emptied in advance, beyond the number that may be down at once. Emptying takes about as long as the
+ * maintenance, so a wave of one machine at a time would otherwise take twice as long.
  */
-const preparedAhead = 1;
+const emptiedInAdvance = 1;
 
 /**
- * Which machines of a wave go down now, and which are to be emptied for it: empty ones first, then the least used; those
- * that are needed only when the wave has no time left to wait.
+ * Chooses the machines of a wave that go down now, and those that are emptied next. Empty machines come first, then those
+ * with the fewest runs. Machines that are needed are chosen only if the wave can't wait any longer.
  *
- * A machine that is being emptied stays chosen. Its pool misses its room from then on, so it would count as needed and be
- * given back with its tasks half gone: they were stopped and started there four times in six seconds, and its upkeep came
- * after the wave was due.
+ * A machine that is being emptied stays chosen. From then on its pool lacks its capacity, so it would count as needed and
+ * go back to its pool with some of its tasks stopped. Its tasks were then stopped and started again there four times in
+ * six seconds, and its maintenance began after the wave was due.
  */
 export function chooseUpkeep(opts: UpkeepOptions): UpkeepChoice {
     const { wave, machines, begun, removed, down } = opts;
     const countRuns = (machine: Machine) => opts.runsOn(machine) ?? Number.MAX_SAFE_INTEGER;
     const open = wave.machines.filter((id) => !begun.has(id) && !removed.has(id));
-    const room = Math.max(0, wave.maxDown - wave.machines.filter((id) => down.has(id)).length);
-    const sorted = open
+    const allowedDown = Math.max(0, wave.maxDown - wave.machines.filter((id) => down.has(id)).length);
+    const candidates = open
         .map((id) => machines.get(id))
         .filter((machine): machine is Machine => machine?.state === "up")
         .filter((machine) => !opts.mayWait || opts.isEmptying(machine.id) || !opts.isNeeded(machine))
@@ -57,10 +60,10 @@
             countRuns(a) - countRuns(b) || Number(opts.isEmptying(b.id)) - Number(opts.isEmptying(a.id))
             || Number(opts.isUnused(b)) - Number(opts.isUnused(a))
         );
-    const now = sorted.filter((machine) => opts.runsOn(machine) === 0).slice(0, room).map(({ id }) => id);
+    const now = candidates.filter((machine) => opts.runsOn(machine) === 0).slice(0, allowedDown).map(({ id }) => id);
     return {
         now,
-        prepare: sorted.slice(0, wave.maxDown + preparedAhead).map(({ id }) => id),
+        prepare: candidates.slice(0, wave.maxDown + emptiedInAdvance).map(({ id }) => id),
         isComplete: open.length === 0,
     };
 }
--- a/src/machines/createMachineOrders.ts
+++ b/src/machines/createMachineOrders.ts
@@ -3,16 +3,17 @@
 import type { Store } from "../store";
 import type { MachineOrderer, MachineOrderResult, Machines } from "./machines";
 
-/** What is kept of orders to machines, for the next owner. */
+/** Record of the orders to machines in the store, for the next leader. */
 interface OrdersRecord {
     /** Time of the last order to each machine, milliseconds since 1970. */
     readonly orderedAtMs: Readonly<Record<string, number>>;
-    /** Machines of each wave whose upkeep has certainly begun. */
+    /** Machines of each wave whose maintenance has certainly begun. */
     readonly waves: Readonly<Record<string, readonly string[]>>;
     /** When each wave was first seen, milliseconds since 1970. */
     readonly waveSeenAtMs?: Readonly<Record<string, number>>;
 }
 
+/** An order to a machine: a move to a pool, or maintenance for a wave. */
 export type MachineOrder =
     | { readonly kind: "move"; readonly machine: string; readonly pool: string; }
     | { readonly kind: "maintain"; readonly machine: string; readonly wave: number; };
@@ -23,19 +24,20 @@
     readonly tenure: Tenure;
     readonly orderer: MachineOrderer;
     readonly report: Reporter;
-    /** Two holders must not take turns on a machine within this time, in milliseconds. */
+    /** Shortest time between an order to a machine by one leader and one by the next leader, in milliseconds. */
     readonly turnMs: number;
 }
 
 export interface MachineOrders {
+    /** Reads the record of earlier leaders; false where the store doesn't answer. */
     load(): Promise<boolean>;
-    /** Whether an order of an earlier owner may still be under way to this machine. */
+    /** Whether an order of an earlier leader to this machine may still be in flight. */
     isBlocked(machine: string): boolean;
-    /** Machines of a wave whose upkeep has certainly begun. */
+    /** Machines of a wave whose maintenance has certainly begun. */
     begun(wave: number): ReadonlySet<string>;
-    /** When the wave was first seen, milliseconds since 1970; recorded with the next orders. */
+    /** When the wave was first seen, in milliseconds since 1970. Stored with the next orders. */
     waveSeenAtMs(wave: number): number;
-    /** Records and sends orders; tells of each as it is answered. */
+    /** Records orders in the store, then sends them. Calls `onResult` for each order when it is answered. */
     send(
         orders: readonly MachineOrder[],
         onResult: (order: MachineOrder, result: MachineOrderResult) => void,
@@ -44,25 +46,25 @@
 
 export const machineOrdersKey = "samphirepin/machines";
 
-/** Allowance for clocks of instances that differ, in milliseconds. */
+/** Allowance for the clock skew between instances, in milliseconds. */
 const clockSkewMs = 500;
 
-/** Orders older than this are forgotten, in milliseconds. */
+/** Orders older than this are dropped from the record, in milliseconds. */
 const keepMs = 60_000;
 
 /**
- * Sends orders to machines, and records them first: the next owner must not order a machine right after this one did.
- * An upkeep counts only once the platform has answered that it has begun; a wave would else be called complete while an
- * order was lost.
+ * Sends orders to machines, and records them in the store first: the next leader must not send an order to a machine right
+ * after this one did. Maintenance counts as begun only once the platform has answered so. Otherwise a wave would be reported
+ * as complete although an order was lost.
  */
 export function createMachineOrders(opts: MachineOrdersOptions): MachineOrders {
     const { store, tenure } = opts;
     let orderedAtMs = new Map<string, number>();
     const waves = new Map<string, Set<string>>();
     const waveSeenAtMs = new Map<string, number>();
-    const own = new Set<string>();
+    const ownMachines = new Set<string>();
     let revision = 0;
-    let saving = Promise.resolve(true);
+    let lastSave = Promise.resolve(true);
 
     function encode(): string {
         const cutMs = Date.now() - keepMs;
@@ -75,10 +77,10 @@
         return JSON.stringify(record);
     }
 
-    /** Writes go one after the other: each depends on the revision that the one before has made. */
+    /** Writes are sequential: each one depends on the revision that the one before has created. */
     function save(): Promise<boolean> {
-        saving = saving.then(write);
-        return saving;
+        lastSave = lastSave.then(write);
+        return lastSave;
     }
 
     async function write(): Promise<boolean> {
@@ -93,14 +95,14 @@
             return true;
         }
         if (result.kind === "conflict") {
-            // An earlier write of ours whose answer was lost; the next try goes by its revision.
+            // An earlier write of this leader got through although its answer was lost. The next write uses its revision.
             revision = result.items.find(({ key }) => key === machineOrdersKey)?.revision ?? 0;
         }
         return false;
     }
 
-    /** Written with the next orders; an owner that does not find it orders again, which is harmless. */
-    function noteBegun(order: MachineOrder, result: MachineOrderResult): void {
+    /** Stored with the next orders. A leader that doesn't find it sends the order again, which is harmless. */
+    function recordBegun(order: MachineOrder, result: MachineOrderResult): void {
         if (order.kind === "maintain" && result.kind === "done") {
             const key = String(order.wave);
             waves.set(key, (waves.get(key) ?? new Set()).add(order.machine));
@@ -142,7 +144,7 @@
         },
         isBlocked(machine) {
             const atMs = orderedAtMs.get(machine);
-            return atMs !== undefined && !own.has(machine) && Date.now() - atMs < opts.turnMs + clockSkewMs;
+            return atMs !== undefined && !ownMachines.has(machine) && Date.now() - atMs < opts.turnMs + clockSkewMs;
         },
         begun: (wave) => waves.get(String(wave)) ?? new Set(),
         waveSeenAtMs(wave) {
@@ -154,13 +156,15 @@
         async send(orders, onResult) {
             orders.forEach(({ machine }) => orderedAtMs.set(machine, Date.now()));
             if (!await save()) {
-                orders.forEach((order) => onResult(order, { kind: "notNow", detail: "not recorded" }));
+                orders.forEach((order) =>
+                    onResult(order, { kind: "notNow", detail: "the order could not be recorded in the store" })
+                );
                 return;
             }
-            orders.forEach(({ machine }) => own.add(machine));
+            orders.forEach(({ machine }) => ownMachines.add(machine));
             await Promise.all(orders.map(async (order) => {
                 const result = await sendOne(order);
-                noteBegun(order, result);
+                recordBegun(order, result);
                 onResult(order, result);
             }));
         },
--- a/src/machines/forecastNeed.ts
+++ b/src/machines/forecastNeed.ts
@@ -1,31 +1,33 @@
+/** Open work, expected arrivals and capacity of a pool. */
 export interface NeedInput {
-    /** Processors that open submissions should have now, in thousandths. */
+    /** Processors that open submissions should get now, in thousandths. */
     readonly openCpuMillis: number;
-    /** Work that open submissions have before them, in core-milliseconds. */
+    /** Remaining work of open submissions, in core-milliseconds. */
     readonly openCoreMs: number;
-    /** Processors that what arrives until then will keep busy, in thousandths. */
+    /** Processors that the work arriving within `joinMs` will keep busy, in thousandths. */
     readonly arrivingCpuMillis: number;
-    /** Processors that the pool has for work that ends by itself, in thousandths. */
+    /** Processors of the pool that are available to work that ends by itself, in thousandths. */
     readonly roomCpuMillis: number;
-    /** Processors of machines on their way to it, in thousandths. */
+    /** Processors of machines on their way to the pool, in thousandths. */
     readonly comingCpuMillis: number;
-    /** Time from a decision until the machine takes work, in milliseconds. */
+    /** Time from the decision to send a machine until it takes work, in milliseconds. */
     readonly joinMs: number;
 }
 
-/** Machines on their way join at any time until `joinMs`: on the mean they work for half of it. */
-const comingShare = 0.5;
+/** Machines on their way join at any time within `joinMs`: on average they work for half of it. */
+const comingWorkShare = 0.5;
 
 /**
- * Processors that a pool needs, now or when a machine that is sent now has joined, whichever is more, in thousandths.
+ * Forecasts the processors that a pool needs, in thousandths: the larger of its need now and its need at the time when a
+ * machine that is sent now has joined.
  *
- * While a pool waits for its machines, work piles up: at that time it needs room for what arrives and for what is left
- * over.
+ * A backlog builds up while a pool waits for its machines. At that time it needs capacity for the backlog and for the
+ * arriving work.
  */
 export function forecastNeedCpuMillis(input: NeedInput): number {
     const { openCpuMillis, openCoreMs, arrivingCpuMillis } = input;
-    const workingCpuMillis = input.roomCpuMillis + comingShare * input.comingCpuMillis;
-    const doneCoreMs = workingCpuMillis / 1000 * input.joinMs;
-    const leftShare = openCoreMs > 0 ? Math.max(0, 1 - doneCoreMs / openCoreMs) : 0;
-    return Math.max(openCpuMillis, leftShare * openCpuMillis + arrivingCpuMillis);
+    const meanCapacityCpuMillis = input.roomCpuMillis + comingWorkShare * input.comingCpuMillis;
+    const doneCoreMs = meanCapacityCpuMillis / 1000 * input.joinMs;
+    const backlogShare = openCoreMs > 0 ? Math.max(0, 1 - doneCoreMs / openCoreMs) : 0;
+    return Math.max(openCpuMillis, backlogShare * openCpuMillis + arrivingCpuMillis);
 }
--- a/src/machines/hasSlack.ts
+++ b/src/machines/hasSlack.ts
@@ -2,38 +2,41 @@
 
 export interface SlackOptions {
     readonly wave: Wave;
-    /** Machines whose upkeep for this wave has begun. */
+    /** Machines whose maintenance for this wave has begun. */
     readonly begun: ReadonlySet<string>;
     /** Time since the wave was first seen, in milliseconds. */
     readonly sinceMs: number;
-    /** How long an upkeep takes, in milliseconds. */
+    /** How long the maintenance of a machine takes, in milliseconds. */
     readonly maintenanceMs: number;
-    /** How long the machine in question takes to be emptied, in milliseconds; 0 where the whole wave is meant. */
+    /** How long it takes to empty the machine in question, in milliseconds; 0 where the wave as a whole is meant. */
     readonly emptyingMs?: number;
 }
 
-/** What a round of upkeep takes beside the upkeep itself, in milliseconds: emptying, the list's lag, a decision. */
+/**
+ * Time of a maintenance round in addition to the maintenance, in milliseconds: emptying, the delay of the platform's list,
+ * and the decision.
+ */
 const roundOverheadMs = 3000;
 
-/** Rounds of a wave take up to this much longer than planned: owners change, machines are busy, orders get no answer. */
+/** Rounds take up to this many times as long as planned: leaders change, machines are busy, orders get no answer. */
 const safetyFactor = 1.4;
 
 /**
- * Left at the end in any case, in milliseconds: a machine that is chosen in a turn ends its short tasks first, and an owner may
- * change. With 3 s, one to three of some hundred machines were up to 2 s late.
+ * Time kept in reserve at the end of a wave, in milliseconds. A machine that is chosen in a busy period finishes its short
+ * tasks first, and the leader may change. With 3 s, one to three of some hundred machines were up to 2 s late.
  */
-const reserveMs = 5000;
+const finalReserveMs = 5000;
 
 /**
- * Whether a wave will be in time though it leaves machines alone for now.
+ * Whether a wave will be complete in time although it puts off machines for now.
  *
- * A wave that comes in the middle of a queue's turn would take machines down that its tasks wait for, while the same
- * machines stand idle a few seconds later.
+ * A wave that comes in the middle of a queue's busy period would take down machines that its tasks wait for, while the same
+ * machines are idle a few seconds later.
  */
 export function hasSlack({ wave, begun, sinceMs, maintenanceMs, emptyingMs = 0 }: SlackOptions): boolean {
-    const left = wave.machines.filter((id) => !begun.has(id)).length;
-    const rounds = Math.ceil(left / Math.max(1, wave.maxDown));
+    const remaining = wave.machines.filter((id) => !begun.has(id)).length;
+    const rounds = Math.ceil(remaining / Math.max(1, wave.maxDown));
     const roundsMs = rounds * (maintenanceMs + roundOverheadMs);
-    const neededMs = Math.max(roundsMs, emptyingMs + maintenanceMs) * safetyFactor + reserveMs;
+    const neededMs = Math.max(roundsMs, emptyingMs + maintenanceMs) * safetyFactor + finalReserveMs;
     return wave.completeByS * 1000 - sinceMs > neededMs;
 }
--- a/src/machines/index.ts
+++ b/src/machines/index.ts
@@ -1,4 +1,4 @@
-/** The fleet's machines: which pool they serve, their upkeep in waves, and the orders for both. */
+/** The fleet's machines: moves between pools, maintenance in waves, and the orders for both. */
 export {
     chooseMoves,
     findShortage,
--- a/src/machines/machines.ts
+++ b/src/machines/machines.ts
@@ -2,7 +2,7 @@
 
 export type MachineState = "up" | "moving" | "maintenance" | "down";
 
-/** A machine of the fleet; it stays while workers, its lives, come and go. */
+/** A machine of the fleet. It keeps its id while its workers, which are its incarnations, come and go. */
 export interface Machine {
     readonly id: string;
     readonly pool: string;
@@ -10,7 +10,7 @@
     readonly zone: string;
     readonly labels: readonly string[];
     readonly capacity: Resources;
-    /** The worker that runs on it now. */
+    /** The worker that runs on it now; `undefined` where there is none. */
     readonly workerId: string | undefined;
 }
 
@@ -19,29 +19,30 @@
     | { readonly kind: "noAnswer"; readonly detail: string; };
 
 export type MachineOrderResult =
-    /** It is being done, or was done before. */
+    /** The order is being carried out, or was carried out before. */
     | { readonly kind: "done"; }
-    /** A higher token has ordered this machine. */
+    /** The machine has had an order with a higher fencing token. */
     | { readonly kind: "fenced"; }
-    /** Not up, or leaving. */
+    /** The machine is not up, or is leaving. */
     | { readonly kind: "busy"; }
-    /** The machine is not of this wave, does not exist, or cannot join that pool. */
+    /** The machine doesn't exist, can't join that pool, or doesn't belong to that wave. */
     | { readonly kind: "impossible"; readonly detail: string; }
-    /** Nothing was done; too many orders of all entries together, or the interface is down. */
+    /** Nothing was done: all entries together have sent too many orders, or the API is down. */
     | { readonly kind: "notNow"; readonly detail: string; }
-    /** It may be carried out, now or later. */
+    /** No answer: the order may be carried out, now or later. */
     | { readonly kind: "noAnswer"; readonly detail: string; };
 
-/** Who orders, for the platform's checks. */
+/** Who sends an order: the platform checks the lease holder and its fencing token. */
 export interface MachineOrderer {
     readonly holder: string;
     readonly token: number;
 }
 
-/** What the platform offers for machines; nothing here decides or tries again. */
+/** The platform's API for machines. Each call is made once; callers decide and retry. */
 export interface Machines {
     list(): Promise<MachineListResult>;
+    /** Moves the machine to another pool. */
     move(machine: string, pool: string, orderer: MachineOrderer): Promise<MachineOrderResult>;
-    /** Takes the machine down for the upkeep of a wave. */
+    /** Takes the machine down for the maintenance of a wave. */
     maintain(machine: string, wave: number, orderer: MachineOrderer): Promise<MachineOrderResult>;
 }
--- a/src/machines/test/machines.feature
+++ b/src/machines/test/machines.feature
@@ -1,21 +1,21 @@
-Feature: Machines follow the work
+Feature: Moves of machines between pools, and waves of maintenance
 
-    Scenario: machines go where work waits
+    Scenario: machines go to a pool that lacks capacity
         Given pool "stalls" that needs 60 cores and has 10
         And a pool "vets" that needs nothing
         And 3 idle machines of 32 cores in "vets"
         When moves are chosen
         Then 2 machines go to "stalls"
 
-    Scenario: machines that are on their way count
+    Scenario: machines on their way count as capacity
         Given pool "stalls" that needs 60 cores and has 10, with 64 coming
         And 3 idle machines of 32 cores in standby
         When moves are chosen
         Then no machine moves
 
     Scenario Outline: how many machines go depends on their size
-        The same work needs sixteen small machines or one large one. A shortage counted in processors alone means nothing on
-        the one and half a pool on the other.
+        Guards against a shortage that is judged in processors alone. The same work needs sixteen small machines or one large
+        one, so the same number of processors is negligible for one fleet and half a pool for another.
 
         Given pool "stalls" that needs 60 cores and has 0
         And 40 idle machines of <cores> cores in standby
@@ -29,8 +29,9 @@
             | 64    | 1        |
             | 128   | 1        |
 
-    Scenario Outline: no machine goes for a small part of one
-        A move costs as much as a second of a machine, and finds that much work only where a good part of it is missing.
+    Scenario Outline: no machine goes for a shortage of a small part of a machine
+        Guards against moves that don't pay off. A move costs as much as a machine for a second, and the machine finds that
+        much work only if a large part of its capacity is missing.
 
         Given pool "stalls" that needs <needed> cores and has 20
         And 2 idle machines of 64 cores in standby
@@ -42,20 +43,20 @@
             | 30     | 0        |
             | 40     | 1        |
 
-    Scenario: a task that fits nowhere gets a machine
-        Given pool "stalls" where 3 cores wait without a place and 60 are free
+    Scenario: a task that fits on no worker gets a machine
+        Given pool "stalls" where tasks of 3 cores fit on no worker and 60 cores are free
         And 1 idle machine of 32 cores in standby
         When moves are chosen
         Then 1 machine goes to "stalls"
 
-    Scenario: idle machines are parked
+    Scenario: idle machines go to the standby pool
         Given a pool "vets" that needs nothing
         And 3 idle machines of 32 cores in "vets"
         When moves are chosen
         Then 2 machines go to "spare"
 
-    Scenario: machines under evacuation go to no pool that needs them
-        Guards against moves that bring no room, since nothing may be started on the machine.
+    Scenario: machines under evacuation don't go to a pool that lacks capacity
+        Guards against moves that add no capacity, since nothing may be started on the machine.
 
         Given pool "stalls" that needs 60 cores and has 10
         And a pool "vets" that needs nothing
@@ -67,21 +68,23 @@
         Then 0 machines go to "stalls"
         And 2 machines go to "spare"
 
-    Scenario: room for the first submissions of a turn stays
-        Short submissions come several at a time when their turn begins. Those that wait for a machine to join are late.
+    Scenario: capacity for the first submissions of a busy period stays
+        Guards against late submissions. When a busy period begins, short submissions arrive several at a time, and those
+        that wait for a machine to join are late.
 
-        Given a pool "vets" that keeps 40 cores for the next submissions
+        Given a pool "vets" with a reserve of 40 cores for the next submissions
         And 4 idle machines of 32 cores in "vets"
         When moves are chosen
         Then 2 machines go to "spare"
 
-    Scenario Outline: the rate of arrivals follows a jump and a fall, and not chance
-        Machines need a second and a half to join. A jump that is noticed late leaves a backlog for the rest of the turn; a
-        cluster of arrivals that is taken for one sends machines that find nothing.
+    Scenario Outline: the estimated rate of arrivals follows jumps and falls, and ignores chance
+        Guards against a jump that is detected late, and against a random cluster of arrivals that is taken for a jump.
+        Machines need a second and a half to join: the first leaves a backlog for the rest of the busy period, the second
+        sends machines that find no work.
 
-        Given submissions of 5 cores come <before> a second for 10000 ms, and then <after> a second
+        Given submissions of 5 cores arrive <before> a second for 10000 ms, and then <after> a second
         When <ms> ms have passed
-        Then between <least> and <most> cores will arrive in 2000 ms
+        Then between <least> and <most> cores are expected to arrive in 2000 ms
 
         Examples:
             | before | after | ms   | least | most |
@@ -92,74 +95,76 @@
             | 20     | 1     | 2500 | 0     | 20   |
             | 1      | 1     | 1000 | 5     | 25   |
 
-    Scenario: a rise is carried on
-        A turn that rises for seconds is three times as strong when the machines are there as when they were ordered. Without
-        it those who come in its first half wait, and the machines arrive for its end.
+    Scenario: a rise is extrapolated
+        Guards against machines that join at the end of a busy period, while submissions of its first half wait. A rate that
+        rises for seconds is three times as high when the machines join as when they were ordered.
 
-        Given submissions of 5 cores come 5 a second for 1000 ms, and then 15 a second
+        Given submissions of 5 cores arrive 5 a second for 1000 ms, and then 15 a second
         When 1000 ms have passed
-        Then between 180 and 300 cores will arrive in 2000 ms
+        Then between 180 and 300 cores are expected to arrive in 2000 ms
 
-    Scenario: work that a new owner reads did not arrive just now
-        It reads all open submissions at once. Taken for a turn that begins, a pool whose turn is over keeps its idle
-        machines while another queue waits for them.
+    Scenario: work that a new leader reads doesn't count as arriving now
+        Guards against a pool that keeps idle machines after its busy period while another queue waits for them: a new leader
+        reads all open submissions at once, which looks like the beginning of a busy period.
 
-        Given 40 submissions of 5 cores were read that came 8000 ms ago
-        Then at most 0 cores will arrive
+        Given 40 submissions of 5 cores are read that arrived 8000 ms ago
+        Then at most 0 cores are expected to arrive
 
-    Scenario: what is left over when machines join counts beside what arrives
-        At the beginning of a turn a pool has room for a fifth of what comes. By the time that its machines are there, the
-        rest has piled up; machines that were called for the arrivals alone are short by it, and everybody is late.
+    Scenario: the backlog at the time when machines join counts in addition to arrivals
+        Guards against sending machines for the arrivals alone. At the beginning of a busy period a pool has capacity for a
+        fifth of the arriving work. The rest is a backlog by the time its machines join: machines sent for the arrivals alone
+        lack the capacity for it, and all submissions are late.
 
-        Given 100 cores of open work of 1000 ms, 100 cores that arrive, and room for 20
+        Given 100 cores of open work of 1000 ms, 100 cores that arrive, and a capacity of 20
         When a machine joins after 1000 ms
         Then 180 cores are needed
 
-    Scenario: what is done by then doesn't count
-        Given 100 cores of open work of 1000 ms, 100 cores that arrive, and room for 200
+    Scenario: open work that is done when machines join doesn't count
+        Given 100 cores of open work of 1000 ms, 100 cores that arrive, and a capacity of 200
         When a machine joins after 1000 ms
         Then 100 cores are needed
 
-    Scenario: a wave takes empty machines first, and no more than allowed
+    Scenario: a wave takes empty machines first, and no more than may be down at once
         Given a wave over "a", "b", "c" and "d", 2 at once, with runs on "a" and "b"
         When its next machines are chosen
         Then "c, d" go down now
 
-    Scenario: a machine of which nothing is known stays up
-        Right after a change of owners a worker that has not been asked may run anything.
+    Scenario: a machine whose runs are unknown stays up
+        Guards against stopping tasks: right after a change of leaders, a worker that has not been polled yet may run tasks.
 
         Given a wave over "a", "b", "c" and "d", 4 at once, with "a" and "b" unknown
         When its next machines are chosen
         Then "c, d" go down now
 
-    Scenario: a wave with machines that were taken away becomes complete
+    Scenario: a wave with removed machines becomes complete
         Given a wave over "a", "b", "c" and "d", 4 at once, with all begun but "d", which was removed
         When its next machines are chosen
         Then the wave is complete
 
     Scenario: a wave takes machines under evacuation first
-        Guards against a pool that loses room to a wave while machines that nobody may use are due as well.
+        Guards against a pool that loses capacity to a wave while unusable machines of the same wave are still up.
 
         Given a wave over "a", "b", "c" and "d", 2 at once, with "c, d" under evacuation
         When its next machines are chosen
         Then "c, d" go down now
 
-    Scenario: a wave leaves machines that are needed to their pool while it has time
-        It comes in the middle of a queue's turn. Machines taken down then are missed by those who wait; a few seconds
-        later they stand idle.
+    Scenario: a wave puts off needed machines while it has time
+        Guards against a wave that takes down machines in the middle of a queue's busy period: tasks wait for them, and a few
+        seconds later the machines would be idle.
 
         Given a wave over "a", "b", "c" and "d", 3 at once, whose pool needs "a, b", with time left
         When its next machines are chosen
         Then "c, d" go down now
 
-    Scenario: a wave without time left takes machines that are needed
+    Scenario: a wave without time left takes needed machines
         Given a wave over "a", "b", "c" and "d", 4 at once, whose pool needs "a, b", without time left
         When its next machines are chosen
         Then "a, b, c, d" go down now
 
     Scenario: a machine that is being emptied stays chosen
-        Without its room its pool is short, so it counts as needed. Given back, its tasks start there again, and the next
-        moment it is chosen anew: users find the same task stopped time after time, and the wave never gets on.
+        Guards against tasks that are stopped again and again, and a wave that makes no progress. A pool lacks the capacity
+        of a machine that is being emptied, so the machine counts as needed. If it went back to its pool, its tasks would
+        start there again, and a moment later it would be chosen again.
 
         Given a wave over "a", "b", "c" and "d", 1 at once, whose pool needs "a, b, c, d", with time left, and "b" being emptied
         When its next machines are chosen
@@ -172,9 +177,10 @@
         And after 14 s with 2 machines begun it may wait
         And after 26 s with 3 machines begun it cannot wait
 
-    Scenario: a machine that takes long to empty begins early
-        It holds six tasks of a step that bears one away: emptying it takes six turns. Left for last, since its pool has no
-        other machine, its upkeep came after the wave was due.
+    Scenario: a machine that takes long to empty is started early
+        Guards against maintenance that begins after the wave was due. The machine runs six tasks of a step that allows one
+        unavailable task, so they are moved one after the other, in six rounds. It is the only machine of its pool, so it
+        was put off until the end.
 
         Given a wave over 4 machines, 2 at once, complete by 30 s
         Then after 0 s with 3 machines begun one that is emptied in 12000 ms may wait
--- a/src/machines/test/machines.steps.ts
+++ b/src/machines/test/machines.steps.ts
@@ -22,18 +22,18 @@
     moves: readonly MoveChoice[];
     meter: DemandMeter;
     nowMs: number;
-    perSecond: number;
+    arrivalsPerSecond: number;
     need: Omit<NeedInput, "joinMs">;
     neededCpuMillis: number;
     choose: () => UpkeepChoice;
-    upkeep: UpkeepChoice;
+    maintenance: UpkeepChoice;
     wave?: Wave;
 }
 
-/** Time that a machine needs to join, in milliseconds. */
+/** Time that a machine needs to join a pool, in milliseconds. */
 const joinMs = 2000;
 
-const nothing = {
+const noDemand = {
     isStandby: false,
     waitingCpuMillis: 0,
     unplaceableCpuMillis: 0,
@@ -44,7 +44,7 @@
 };
 
 Before(function(this: World) {
-    this.pools = [{ ...nothing, pool: "spare", isStandby: true, machines: 0 }];
+    this.pools = [{ ...noDemand, pool: "spare", isStandby: true, machines: 0 }];
     this.idle = [];
     this.meter = createDemandMeter(joinMs);
     this.nowMs = 0;
@@ -52,7 +52,7 @@
 
 function addPool(world: World, pool: string, cores: Partial<Record<keyof PoolDemand, number>>): void {
     const millis = Object.fromEntries(Object.entries(cores).map(([name, count]) => [name, count * 1000]));
-    world.pools.push({ ...nothing, machines: 0, ...millis, pool });
+    world.pools.push({ ...noDemand, machines: 0, ...millis, pool });
 }
 
 function addIdle(world: World, count: number, cores: number, pool: string): void {
@@ -78,27 +78,27 @@
 
 Given(
     "pool {string} that needs {int} cores and has {int}",
-    function(this: World, pool: string, needed: number, room: number) {
-        addPool(this, pool, { neededCpuMillis: needed, roomCpuMillis: room });
+    function(this: World, pool: string, needed: number, capacity: number) {
+        addPool(this, pool, { neededCpuMillis: needed, roomCpuMillis: capacity });
     },
 );
 
 Given(
     "pool {string} that needs {int} cores and has {int}, with {int} coming",
-    function(this: World, pool: string, needed: number, room: number, coming: number) {
-        addPool(this, pool, { neededCpuMillis: needed, roomCpuMillis: room, comingCpuMillis: coming });
+    function(this: World, pool: string, needed: number, capacity: number, coming: number) {
+        addPool(this, pool, { neededCpuMillis: needed, roomCpuMillis: capacity, comingCpuMillis: coming });
     },
 );
 
 Given(
-    "a pool {string} that keeps {int} cores for the next submissions",
+    "a pool {string} with a reserve of {int} cores for the next submissions",
     function(this: World, pool: string, cores: number) {
         addPool(this, pool, { reserveCpuMillis: cores });
     },
 );
 
 Given(
-    "pool {string} where {int} cores wait without a place and {int} are free",
+    "pool {string} where tasks of {int} cores fit on no worker and {int} cores are free",
     function(this: World, pool: string, waiting: number, free: number) {
         addPool(this, pool, { waitingCpuMillis: waiting, unplaceableCpuMillis: waiting, roomCpuMillis: free });
     },
@@ -140,10 +140,10 @@
 
 const submissionCpuMillis = 5000;
 
-/** Submissions at even distances, from now on. */
-function arrive(world: World, perSecond: number, forMs: number): void {
+/** Records submissions at even intervals for a time, and moves the time on. */
+function recordArrivals(world: World, arrivalsPerSecond: number, forMs: number): void {
     const untilMs = world.nowMs + forMs;
-    for (let atMs = world.nowMs; atMs < untilMs; atMs += 1000 / perSecond) {
+    for (let atMs = world.nowMs; atMs < untilMs; atMs += 1000 / arrivalsPerSecond) {
         world.meter.note("stalls", { cpuMillis: submissionCpuMillis, stayMs: joinMs }, atMs);
     }
     world.nowMs = untilMs;
@@ -154,24 +154,27 @@
 }
 
 Given(
-    "submissions of 5 cores come {int} a second for {int} ms, and then {int} a second",
+    "submissions of 5 cores arrive {int} a second for {int} ms, and then {int} a second",
     function(this: World, before: number, forMs: number, after: number) {
-        arrive(this, before, forMs);
-        this.perSecond = after;
+        recordArrivals(this, before, forMs);
+        this.arrivalsPerSecond = after;
     },
 );
 
 When("{int} ms have passed", function(this: World, ms: number) {
-    arrive(this, this.perSecond, ms);
+    recordArrivals(this, this.arrivalsPerSecond, ms);
 });
 
-Then("between {int} and {int} cores will arrive in 2000 ms", function(this: World, least: number, most: number) {
-    const cores = arrivingCores(this);
-    assert.ok(cores >= least && cores <= most, String(cores));
-});
+Then(
+    "between {int} and {int} cores are expected to arrive in 2000 ms",
+    function(this: World, least: number, most: number) {
+        const cores = arrivingCores(this);
+        assert.ok(cores >= least && cores <= most, String(cores));
+    },
+);
 
 Given(
-    "{int} submissions of 5 cores were read that came {int} ms ago",
+    "{int} submissions of 5 cores are read that arrived {int} ms ago",
     function(this: World, count: number, ageMs: number) {
         for (let at = 0; at < count; at++) {
             this.meter.note("stalls", { cpuMillis: submissionCpuMillis, stayMs: joinMs }, this.nowMs, ageMs);
@@ -179,18 +182,18 @@
     },
 );
 
-Then("at most {int} cores will arrive", function(this: World, most: number) {
+Then("at most {int} cores are expected to arrive", function(this: World, most: number) {
     assert.ok(arrivingCores(this) <= most, String(arrivingCores(this)));
 });
 
 Given(
-    "{int} cores of open work of {int} ms, {int} cores that arrive, and room for {int}",
-    function(this: World, open: number, ms: number, arriving: number, room: number) {
+    "{int} cores of open work of {int} ms, {int} cores that arrive, and a capacity of {int}",
+    function(this: World, open: number, ms: number, arriving: number, capacity: number) {
         this.need = {
             openCpuMillis: open * 1000,
             openCoreMs: open * ms,
             arrivingCpuMillis: arriving * 1000,
-            roomCpuMillis: room * 1000,
+            roomCpuMillis: capacity * 1000,
             comingCpuMillis: 0,
         };
     },
@@ -204,14 +207,14 @@
     assert.equal(Math.round(this.neededCpuMillis / 1000), cores);
 });
 
-const names = ["a", "b", "c", "d"];
+const machineIds = ["a", "b", "c", "d"];
 
 function machine(id: string): Machine {
     const capacity = { cpuMillis: 1000, memoryMb: 1000, accelerators: 0 };
     return { id, pool: "stalls", state: "up", zone: "zone-a", labels: [], capacity, workerId: id };
 }
 
-function choose(
+function chooseFromWave(
     maxDown: number,
     runsOn: (id: string) => number | undefined,
     begun: readonly string[] = [],
@@ -222,8 +225,8 @@
     unused: readonly string[] = [],
 ): UpkeepChoice {
     return chooseUpkeep({
-        wave: { wave: 1, machines: names, completeByS: 20, maxDown },
-        machines: new Map(names.filter((id) => !removed.includes(id)).map((id) => [id, machine(id)])),
+        wave: { wave: 1, machines: machineIds, completeByS: 20, maxDown },
+        machines: new Map(machineIds.filter((id) => !removed.includes(id)).map((id) => [id, machine(id)])),
         begun: new Set(begun),
         removed: new Set(removed),
         down: new Set(),
@@ -238,52 +241,52 @@
 Given(
     "a wave over \"a\", \"b\", \"c\" and \"d\", {int} at once, with runs on \"a\" and \"b\"",
     function(this: World, maxDown: number) {
-        this.choose = () => choose(maxDown, (id) => id < "c" ? 2 : 0);
+        this.choose = () => chooseFromWave(maxDown, (id) => id < "c" ? 2 : 0);
     },
 );
 
 Given(
     "a wave over \"a\", \"b\", \"c\" and \"d\", {int} at once, with \"a\" and \"b\" unknown",
     function(this: World, maxDown: number) {
-        this.choose = () => choose(maxDown, (id) => id < "c" ? undefined : 0);
+        this.choose = () => chooseFromWave(maxDown, (id) => id < "c" ? undefined : 0);
     },
 );
 
 Given(
     "a wave over \"a\", \"b\", \"c\" and \"d\", {int} at once, with all begun but \"d\", which was removed",
     function(this: World, maxDown: number) {
-        this.choose = () => choose(maxDown, () => 0, ["a", "b", "c"], ["d"]);
+        this.choose = () => chooseFromWave(maxDown, () => 0, ["a", "b", "c"], ["d"]);
     },
 );
 
 Given(
     "a wave over \"a\", \"b\", \"c\" and \"d\", {int} at once, whose pool needs {string}, {word} time left",
     function(this: World, maxDown: number, needed: string, time: string) {
-        this.choose = () => choose(maxDown, () => 0, [], [], needed.split(", "), time === "with");
+        this.choose = () => chooseFromWave(maxDown, () => 0, [], [], needed.split(", "), time === "with");
     },
 );
 
 Given(
     "a wave over \"a\", \"b\", \"c\" and \"d\", {int} at once, whose pool needs {string}, with time left, and {string} being emptied",
     function(this: World, maxDown: number, needed: string, emptying: string) {
-        this.choose = () => choose(maxDown, () => 2, [], [], needed.split(", "), true, emptying.split(", "));
+        this.choose = () => chooseFromWave(maxDown, () => 2, [], [], needed.split(", "), true, emptying.split(", "));
     },
 );
 
 Given(
     "a wave over \"a\", \"b\", \"c\" and \"d\", {int} at once, with {string} under evacuation",
     function(this: World, maxDown: number, unused: string) {
-        this.choose = () => choose(maxDown, () => 0, [], [], [], true, [], unused.split(", "));
+        this.choose = () => chooseFromWave(maxDown, () => 0, [], [], [], true, [], unused.split(", "));
     },
 );
 
 Given("a wave over 4 machines, 2 at once, complete by {int} s", function(this: World, completeByS: number) {
-    this.wave = { wave: 1, machines: names, completeByS, maxDown: 2 };
+    this.wave = { wave: 1, machines: machineIds, completeByS, maxDown: 2 };
 });
 
 function mayWait({ wave }: World, sinceS: number, begun: number, emptyingMs: number): boolean {
     assert.ok(wave);
-    const begunIds = new Set(names.slice(0, begun));
+    const begunIds = new Set(machineIds.slice(0, begun));
     return hasSlack({ wave, begun: begunIds, sinceMs: sinceS * 1000, maintenanceMs: 2000, emptyingMs });
 }
 
@@ -302,17 +305,17 @@
 );
 
 When("its next machines are chosen", function(this: World) {
-    this.upkeep = this.choose();
+    this.maintenance = this.choose();
 });
 
 Then("{string} is emptied", function(this: World, expected: string) {
-    assert.equal(this.upkeep.prepare.join(", "), expected);
+    assert.equal(this.maintenance.prepare.join(", "), expected);
 });
 
 Then("{string} go down now", function(this: World, expected: string) {
-    assert.equal(this.upkeep.now.join(", "), expected);
+    assert.equal(this.maintenance.now.join(", "), expected);
 });
 
 Then("the wave is complete", function(this: World) {
-    assert.equal(this.upkeep.isComplete, true);
+    assert.equal(this.maintenance.isComplete, true);
 });
