--- a/src/machines/test/machines.steps.ts
+++ b/src/machines/test/machines.steps.ts
@@ -222,7 +222,7 @@
     needed: readonly string[] = [],
     mayWait = false,
     emptying: readonly string[] = [],
-    unused: readonly string[] = [],
+    unusable: readonly string[] = [],
 ): UpkeepChoice {
     return chooseUpkeep({
         wave: { wave: 1, machines: machineIds, completeByS: 20, maxDown },
@@ -234,7 +234,7 @@
         isNeeded: ({ id }) => needed.includes(id),
         mayWait,
         isEmptying: (id) => emptying.includes(id),
-        isUnused: ({ id }) => unused.includes(id),
+        isUnused: ({ id }) => unusable.includes(id),
     });
 }
 
@@ -275,8 +275,8 @@
 
 Given(
     "a wave over \"a\", \"b\", \"c\" and \"d\", {int} at once, with {string} under evacuation",
-    function(this: World, maxDown: number, unused: string) {
-        this.choose = () => chooseFromWave(maxDown, () => 0, [], [], [], true, [], unused.split(", "));
+    function(this: World, maxDown: number, unusable: string) {
+        this.choose = () => chooseFromWave(maxDown, () => 0, [], [], [], true, [], unusable.split(", "));
     },
 );
 
--- a/src/submissions/createDoor.ts
+++ b/src/submissions/createDoor.ts
@@ -45,7 +45,7 @@
 const storeRetryAfterMs = 1000;
 
 /** Clients are asked to retry after this time, in milliseconds: a new leader has read all open work in 1-2 s. */
-const ownerRetryAfterMs = 1000;
+const leaderRetryAfterMs = 1000;
 
 /** Pause before a read without an answer is retried, in milliseconds. */
 const storeRetryMs = 150;
@@ -235,7 +235,7 @@
                 // the next leader is lost as well.
                 return logRequest<CountResult>(call, "count", "", {
                     kind: "ownerUnavailable",
-                    retryAfterMs: ownerRetryAfterMs,
+                    retryAfterMs: leaderRetryAfterMs,
                 });
             }
             counts.set(name, { count: pendingSubmissions, readAtMs: steadyMs() });
--- a/src/submissions/createRecordWriter.ts
+++ b/src/submissions/createRecordWriter.ts
@@ -36,7 +36,7 @@
     settle(outcome: WriteOutcome): void;
 }
 
-/** Each write needs two entries of a commit, a condition and a put. */
+/** Each write takes two operations of a commit, a condition and a put. */
 const writesPerCommit = maxCommitEntries / 2;
 
 /** Pause before writes whose call failed are sent again, in milliseconds. */
--- a/src/submissions/door.ts
+++ b/src/submissions/door.ts
@@ -32,6 +32,7 @@
 
 /** `isNew` is false where the same submission was stored before. */
 export type AcceptResult = { readonly kind: "accepted"; readonly isNew: boolean; } | Refusal;
+/** `gone`: the store has no such submission. */
 export type StateResult = { readonly kind: "state"; readonly state: SubmissionState; } | {
     readonly kind: "gone";
 } | Refusal;
