--- a/src/duties/createDuty.ts
+++ b/src/duties/createDuty.ts
@@ -282,7 +282,7 @@
                 held.validUntilMs = Math.max(held.validUntilMs, sentAtMs + result.ttlMs - validityMarginMs);
                 return;
             case "leaseEnded":
-                expire("the lease has expired in the store");
+                expire("the lease has ended in the store");
                 return;
             case "unavailable":
         }
