--- a/src/advice/advice.ts
+++ b/src/advice/advice.ts
@@ -1,4 +1,4 @@
-/** A worker that may run a step, and the permission that a start has to carry. */
+/** A worker that may run a step, and the ticket that the start request has to carry. */
 export interface Permit {
     readonly workerId: string;
     readonly ticket: string;
@@ -6,11 +6,11 @@
 
 export type AdviceResult =
     | { readonly kind: "permits"; readonly permits: readonly Permit[]; readonly validityMs: number; }
-    /** Too many questions wait there. */
+    /** The service rejected the request because too many requests wait there. */
     | { readonly kind: "busy"; }
     | { readonly kind: "noAnswer"; readonly detail: string; };
 
-/** The service that knows which workers a queue's policy allows for a step. */
+/** Client of the service that decides which workers may run a step under its queue's policy. */
 export interface Advice {
     ask(step: string, workerIds: readonly string[]): Promise<AdviceResult>;
 }
--- a/src/advice/createAdvisor.ts
+++ b/src/advice/createAdvisor.ts
@@ -6,29 +6,31 @@
     readonly advice: Advice;
     readonly steadyMs: () => number;
     readonly report: Reporter;
-    /** New permissions have come. */
+    /** Called when new permits have arrived. */
     onChange(): void;
 }
 
 export interface Advisor {
     /**
-     * Workers that may run a step now, or `undefined` where that is not known yet; then they are asked for.
-     * `candidates` are workers that could run it otherwise.
+     * Returns the ids of the workers that may run a step now. Returns `undefined` while no valid permits are known, and
+     * then requests them.
+     *
+     * @param candidates ids of the workers that could run the step apart from permits
      */
     allowed(step: string, candidates: readonly string[]): ReadonlySet<string> | undefined;
-    /** The permission for a start; `undefined` where there is none that is valid. */
+    /** Returns the ticket for a start, or `undefined` if no valid one is permitsByStep. */
     ticket(step: string, workerId: string): string | undefined;
-    /** The step is over. */
+    /** Drops the permits of a finished step. */
     forget(step: string): void;
 }
 
-/** Workers named in one question; each costs time, and a step rarely needs more. */
-const maxAsked = 30;
+/** Workers named in one request. Each worker costs time, and a step rarely needs more. */
+const maxCandidates = 30;
 
-/** A permission is used only while it is valid for this long, in milliseconds, so that the start arrives in time. */
-const marginMs = 500;
+/** A permit is used only if it stays valid for at least this long, in milliseconds, so that the start arrives in time. */
+const validityMarginMs = 500;
 
-/** Pause after a question that was turned away or got no answer, in milliseconds. */
+/** Pause after a request that was rejected or got no answer, in milliseconds. */
 const retryMs = 200;
 
 interface StepPermits {
@@ -36,54 +38,54 @@
     readonly validUntilMs: number;
 }
 
-/** Asks for permissions one question after the other, as the service answers each caller in turn. */
+/** Requests permits one at a time, because the service answers callers in turn, and caches them while they are valid. */
 export function createAdvisor(opts: AdvisorOptions): Advisor {
-    const known = new Map<string, StepPermits>();
-    const waiting = new Map<string, readonly string[]>();
-    let isBusy = false;
+    const permitsByStep = new Map<string, StepPermits>();
+    const candidatesByStep = new Map<string, readonly string[]>();
+    let isRequesting = false;
 
-    async function drain(): Promise<void> {
-        if (isBusy) {
+    async function requestPending(): Promise<void> {
+        if (isRequesting) {
             return;
         }
-        isBusy = true;
-        for (let next = waiting.entries().next(); !next.done; next = waiting.entries().next()) {
+        isRequesting = true;
+        for (let next = candidatesByStep.entries().next(); !next.done; next = candidatesByStep.entries().next()) {
             const [step, candidates] = next.value;
-            const askedAtMs = opts.steadyMs();
+            const requestedAtMs = opts.steadyMs();
             const result = await opts.advice.ask(step, candidates);
-            take(step, result, askedAtMs);
+            handleResult(step, result, requestedAtMs);
             if (result.kind !== "permits") {
                 await pause(retryMs);
             }
         }
-        isBusy = false;
+        isRequesting = false;
     }
 
-    function take(step: string, result: AdviceResult, askedAtMs: number): void {
-        waiting.delete(step);
+    function handleResult(step: string, result: AdviceResult, requestedAtMs: number): void {
+        candidatesByStep.delete(step);
         opts.report({ kind: "note", slice: "advice", message: result.kind, detail: step });
         if (result.kind === "permits") {
             const tickets = new Map(result.permits.map(({ workerId, ticket }) => [workerId, ticket]));
-            known.set(step, { tickets, validUntilMs: askedAtMs + result.validityMs - marginMs });
+            permitsByStep.set(step, { tickets, validUntilMs: requestedAtMs + result.validityMs - validityMarginMs });
             opts.onChange();
         }
     }
 
     function findValid(step: string): StepPermits | undefined {
-        const permits = known.get(step);
+        const permits = permitsByStep.get(step);
         return permits !== undefined && opts.steadyMs() < permits.validUntilMs ? permits : undefined;
     }
 
     return {
         allowed(step, candidates) {
             const permits = findValid(step);
-            if (permits === undefined && candidates.length > 0 && !waiting.has(step)) {
-                waiting.set(step, candidates.slice(0, maxAsked));
-                void drain();
+            if (permits === undefined && candidates.length > 0 && !candidatesByStep.has(step)) {
+                candidatesByStep.set(step, candidates.slice(0, maxCandidates));
+                void requestPending();
             }
             return permits === undefined ? undefined : new Set(permits.tickets.keys());
         },
         ticket: (step, workerId) => findValid(step)?.tickets.get(workerId),
-        forget: (step) => void known.delete(step),
+        forget: (step) => void permitsByStep.delete(step),
     };
 }
--- a/src/advice/test/advice.feature
+++ b/src/advice/test/advice.feature
@@ -1,22 +1,22 @@
-Feature: Permissions for queues with an outside policy
+Feature: Placement permits from an external service
 
-    Scenario: a permission is asked for once and kept while it is valid
+    Scenario: permits are requested once and reused while they are valid
         When step "s" is planned 5 times
-        Then 1 question was asked
+        Then 1 request was sent
         And "worker-1" may run step "s"
 
-    Scenario: questions go one after the other
-        The service answers each caller in turn, and turns callers away when too many questions wait.
+    Scenario: requests are sent one at a time
+        The service answers callers in turn, and rejects them when too many requests wait.
 
         When 5 steps are planned at once
-        Then at most 1 question was under way at once
+        Then at most 1 request was in flight at once
 
-    Scenario: a permission that is about to end is not used
+    Scenario: a permit that is about to expire is not used
         When step "s" is planned 5 times
         And 2800 ms pass
         Then "worker-1" has no ticket for step "s"
 
-    Scenario: a question that was turned away is asked again
+    Scenario: a rejected request is retried
         Given the service is busy once
         When step "s" is planned 5 times
         And 1000 ms pass
--- a/src/advice/test/advice.steps.ts
+++ b/src/advice/test/advice.steps.ts
@@ -6,18 +6,18 @@
 interface World {
     clock: Clock;
     advisor: Advisor;
-    asked: number;
-    underWay: number;
-    mostUnderWay: number;
-    busyTimes: number;
+    requestCount: number;
+    inFlight: number;
+    maxInFlight: number;
+    busyAnswersLeft: number;
 }
 
 Before(function(this: World) {
     this.clock = installClock();
-    this.asked =
-        this.underWay =
-        this.mostUnderWay =
-        this.busyTimes =
+    this.requestCount =
+        this.inFlight =
+        this.maxInFlight =
+        this.busyAnswersLeft =
             0;
     this.advisor = createAdvisor({
         steadyMs: () => performance.now(),
@@ -25,11 +25,11 @@
         onChange() {},
         advice: {
             ask: async (_step, workerIds) => {
-                this.asked++;
-                this.mostUnderWay = Math.max(this.mostUnderWay, ++this.underWay);
+                this.requestCount++;
+                this.maxInFlight = Math.max(this.maxInFlight, ++this.inFlight);
                 await new Promise((resolve) => setTimeout(resolve, 20));
-                this.underWay--;
-                if (this.busyTimes-- > 0) {
+                this.inFlight--;
+                if (this.busyAnswersLeft-- > 0) {
                     return { kind: "busy" };
                 }
                 const permits = workerIds.map((workerId) => ({ workerId, ticket: `t ${workerId}` }));
@@ -44,7 +44,7 @@
 });
 
 Given("the service is busy once", function(this: World) {
-    this.busyTimes = 1;
+    this.busyAnswersLeft = 1;
 });
 
 When("step {string} is planned {int} times", async function(this: World, step: string, times: number) {
@@ -65,13 +65,13 @@
     await this.clock.advance(ms);
 });
 
-Then("{int} question was asked", function(this: World, count: number) {
-    assert.equal(this.asked, count);
+Then("{int} request was sent", function(this: World, count: number) {
+    assert.equal(this.requestCount, count);
 });
 
-Then("at most {int} question was under way at once", function(this: World, most: number) {
-    assert.equal(this.mostUnderWay, most);
-    assert.equal(this.asked, 5);
+Then("at most {int} request was in flight at once", function(this: World, most: number) {
+    assert.equal(this.maxInFlight, most);
+    assert.equal(this.requestCount, 5);
 });
 
 Then("{string} may run step {string}", function(this: World, worker: string, step: string) {
--- a/src/scheduler/chooseConsolidation.ts
+++ b/src/scheduler/chooseConsolidation.ts
@@ -3,37 +3,37 @@
 export interface ConsolidationOptions {
     /** Workers of one pool. */
     readonly workers: readonly Worker[];
-    /** Processors that the pool could do without, in thousandths; those of tasks that move are needed elsewhere. */
+    /** Cores that the pool can spare, in thousandths. The cores of moved tasks are needed again on other workers. */
     readonly spareCpuMillis: number;
-    /** How long a worker has run nothing but tasks that last, in milliseconds. */
+    /** How long a worker has run only long-running tasks, in milliseconds. */
     readonly stayingMs: (worker: Worker) => number;
     readonly nowMs: number;
 }
 
 /**
- * How long a task that lasts is away when it moves, in milliseconds: its stop, its start elsewhere and its startup. A worker
- * is emptied once it has stood for as long as its tasks would be away, so that at worst twice as much is paid as with
- * knowledge of what comes.
+ * How long a long-running task is unavailable when it moves, in milliseconds: its stop, its start on another worker and
+ * its startup. A worker is emptied once it has run only long-running tasks for as long as these would be unavailable in
+ * total. The cost is then at most twice that of the best choice with knowledge of the future.
  */
-const awayMs = 1500;
+const moveUnavailableMs = 1500;
 
 /**
- * The worker whose tasks should move to others, so that its machine can be given back.
+ * Chooses the worker whose tasks should move to others, so that the pool can release its machine.
  *
- * Tasks that last stay where they were started, in the middle of a turn or beside a wave. Each then holds a machine: on a
- * calm evening four pools kept four to five machines each for tasks that one can hold. Only tasks whose step bears one
- * away are moved, and only to workers that are in use anyway.
+ * Long-running tasks stay where they were started, such as during a burst of load or a maintenance wave. Each of them
+ * can then hold a machine of its own: under low load four pools kept four to five machines each for tasks that fit on
+ * one. Only tasks whose step allows an unavailable task are moved, and only to workers that are in use anyway.
  */
 export function chooseConsolidation(opts: ConsolidationOptions): Worker | undefined {
     const [worker] = opts.workers
         .filter(({ capacity, used }) => capacity.cpuMillis + used.cpuMillis <= opts.spareCpuMillis)
-        .filter((each) => isMovable(each) && opts.stayingMs(each) >= awayMs * each.runs.size)
+        .filter((each) => isMovable(each) && opts.stayingMs(each) >= moveUnavailableMs * each.runs.size)
         .sort((a, b) => a.runs.size - b.runs.size);
     if (worker === undefined) {
         return undefined;
     }
     const others = opts.workers.filter((other) => other !== worker && other.runs.size > 0 && isOpen(other));
-    return canTakeAll(worker, others, opts.nowMs) ? worker : undefined;
+    return canPlaceAll(worker, others, opts.nowMs) ? worker : undefined;
 }
 
 function isMovable(worker: Worker): boolean {
@@ -41,16 +41,16 @@
         && [...worker.runs].every(({ phase, task: { step } }) => phase === "running" && step.maxUnavailable > 0);
 }
 
-/** Whether each task has a place, the room for those before it taken off. */
-function canTakeAll(worker: Worker, others: readonly Worker[], nowMs: number): boolean {
-    const free = new Map(others.map((other) => [other, other.capacity.cpuMillis - other.used.cpuMillis]));
+/** Whether all tasks can be placed, with the cores of those placed before subtracted. */
+function canPlaceAll(worker: Worker, others: readonly Worker[], nowMs: number): boolean {
+    const freeCpuMillis = new Map(others.map((other) => [other, other.capacity.cpuMillis - other.used.cpuMillis]));
     return [...worker.runs].every(({ task }) => {
         const cpuMillis = task.step.isFiller ? 0 : task.step.size.cpuMillis;
-        const candidates = others.filter((other) => (free.get(other) ?? 0) >= cpuMillis);
-        const place = placeTask(task, { workers: candidates, nowMs });
-        if (place !== undefined) {
-            free.set(place, (free.get(place) ?? 0) - cpuMillis);
+        const candidates = others.filter((other) => (freeCpuMillis.get(other) ?? 0) >= cpuMillis);
+        const target = placeTask(task, { workers: candidates, nowMs });
+        if (target !== undefined) {
+            freeCpuMillis.set(target, (freeCpuMillis.get(target) ?? 0) - cpuMillis);
         }
-        return place !== undefined;
+        return target !== undefined;
     });
 }
--- a/src/scheduler/chooseEvacuations.ts
+++ b/src/scheduler/chooseEvacuations.ts
@@ -1,24 +1,25 @@
 import { longestMs } from "../runs";
 import { type Board, groupByPool, placeTask, type Run, type Worker } from "../schedule";
 
-/** A long-running task counts as at work at this progress. */
-const atWorkPercent = 100;
+/** Progress at which a long-running task counts as available. */
+const availablePercent = 100;
 
 export interface EvacuationOptions {
     readonly board: Board;
-    /** It goes without places for its tasks. */
+    /** Tasks are stopped even if no other worker can take them. */
     readonly isUrgent: boolean;
     readonly nowMs: number;
-    /** Longest time that a stop takes on a worker, in milliseconds. */
+    /** Longest time that a worker takes to stop a task, in milliseconds. */
     readonly maxStopMs: number;
 }
 
 /**
- * Which runs of a worker may be stopped now so that it becomes empty.
+ * Chooses the runs of a worker that may be stopped now so that the worker becomes empty.
  *
- * A step that serves users bears only so many of its tasks away at once by our doing; one that is already short of tasks
- * for another reason has to wait. Tasks go where there is room; when it is urgent they go without, and wait for room.
- * Short tasks are left to end.
+ * `maxUnavailable` limits how many tasks of a step that serves users may be unavailable at once through the scheduler's
+ * own stops. A step that already has unavailable tasks for another reason has to wait. A task is stopped only if
+ * another worker can take it. If it is urgent, the task is stopped anyway and waits for capacity. Short tasks are left
+ * to end.
  */
 export function chooseEvacuations(worker: Worker, opts: EvacuationOptions): readonly Run[] {
     const { board, nowMs } = opts;
@@ -27,39 +28,41 @@
     for (const run of worker.runs) {
         const { step } = run.task;
         const isPlaceable = opts.isUrgent || placeTask(run.task, { workers: others, nowMs }) !== undefined;
-        if (run.phase === "running" && step.isLongRunning && isPlaceable && mayLeave(run, chosen, opts)) {
+        if (run.phase === "running" && step.isLongRunning && isPlaceable && isWithinMaxUnavailable(run, chosen, opts)) {
             chosen.push(run);
         }
     }
     return chosen;
 }
 
-function mayLeave({ task }: Run, chosen: readonly Run[], { maxStopMs }: EvacuationOptions): boolean {
+function isWithinMaxUnavailable({ task }: Run, chosen: readonly Run[], { maxStopMs }: EvacuationOptions): boolean {
     const { step, owner, occurrence, stepNumber } = task;
     if (step.maxUnavailable === 0) {
         return true;
     }
     const siblings = owner.occurrences[occurrence]?.tasks[stepNumber] ?? [];
-    const away = siblings.filter((other) => other !== task && !isAtWork(other.runs, chosen, maxStopMs)).length;
-    return away < step.maxUnavailable;
+    const unavailable =
+        siblings.filter((other) => other !== task && !isAvailable(other.runs, chosen, maxStopMs)).length;
+    return unavailable < step.maxUnavailable;
 }
 
-function isAtWork(runs: readonly Run[], chosen: readonly Run[], maxStopMs: number): boolean {
+function isAvailable(runs: readonly Run[], chosen: readonly Run[], maxStopMs: number): boolean {
     return runs.some((run) =>
-        run.phase === "running" && run.percent === atWorkPercent && !chosen.includes(run)
-        && isSurelyWanted(run.worker, maxStopMs)
+        run.phase === "running" && run.percent === availablePercent && !chosen.includes(run)
+        && isRunListReliable(run.worker, maxStopMs)
     );
 }
 
 /**
- * Whether what a worker is known to run is at work there.
+ * Whether the runs that are known of a worker can be taken as running and not stopping.
  *
- * One that does not answer may have lost power: until its leases are over its tasks may run, and nobody knows. Nor can what
- * it lists be on its way out by a stop of the owner before: a worker lists a run until its stop is over. Taken for at work,
- * a second task of the step would be stopped beside it. An earlier owner's stop arrived before this owner was shown the
- * list, so once the longest stop has passed since then, a list is true.
+ * A worker that does not answer may have lost power. Until its leases expire, its tasks may or may not run. A run that a
+ * worker lists may also be stopping at the request of an earlier leader, because a worker lists a run until its stop is
+ * complete. If such a run counted as available, a second task of the step would be stopped at the same time. An earlier
+ * leader's stop request arrived before this leader read its first run list. So a list is reliable once the longest stop
+ * time has passed since then.
  */
-function isSurelyWanted({ runList, isReachable }: Worker, maxStopMs: number): boolean {
+function isRunListReliable({ runList, isReachable }: Worker, maxStopMs: number): boolean {
     return isReachable && runList.kind === "read"
         && runList.askedAtMs - runList.firstReadAtMs > longestMs(maxStopMs);
 }
--- a/src/scheduler/createConsolidator.ts
+++ b/src/scheduler/createConsolidator.ts
@@ -7,52 +7,54 @@
 export interface ConsolidatorOptions {
     readonly board: Board;
     readonly clocks: Clocks;
-    /** Longest time that a stop takes on a worker, in milliseconds. */
+    /** Longest time that a worker takes to stop a task, in milliseconds. */
     readonly maxStopMs: number;
     stop(run: Run, reason: string): void;
 }
 
-/** Gathers tasks that last on few machines. */
+/** Packs long-running tasks onto fewer machines. */
 export interface Consolidator {
-    /** Begins, goes on or gives up, one worker of a pool at a time. */
+    /** Starts, continues or gives up the emptying of one worker per pool. */
     decide(demand: readonly PoolDemand[]): void;
 }
 
+/** Creates a consolidator for all pools. */
 export function createConsolidator(opts: ConsolidatorOptions): Consolidator {
     const { board, clocks } = opts;
-    const stayingSinceMs = new Map<Worker, number>();
+    const longRunningOnlySinceMs = new Map<Worker, number>();
     /** The worker that is being emptied, by pool. */
-    const emptying = new Map<string, Worker>();
+    const emptyingByPool = new Map<string, Worker>();
 
-    function noteStaying(workers: readonly Worker[], nowMs: number): void {
+    function updateLongRunningOnly(workers: readonly Worker[], nowMs: number): void {
         for (const worker of workers) {
-            const isStaying = worker.runs.size > 0 && [...worker.runs].every(({ task }) => task.step.isLongRunning);
-            if (!isStaying) {
-                stayingSinceMs.delete(worker);
+            const isLongRunningOnly = worker.runs.size > 0
+                && [...worker.runs].every(({ task }) => task.step.isLongRunning);
+            if (!isLongRunningOnly) {
+                longRunningOnlySinceMs.delete(worker);
             }
-            else if (!stayingSinceMs.has(worker)) {
-                stayingSinceMs.set(worker, nowMs);
+            else if (!longRunningOnlySinceMs.has(worker)) {
+                longRunningOnlySinceMs.set(worker, nowMs);
             }
         }
     }
 
-    function forgetGone(): void {
-        for (const worker of stayingSinceMs.keys()) {
+    function removeGoneWorkers(): void {
+        for (const worker of longRunningOnlySinceMs.keys()) {
             if (board.workers.get(worker.id) !== worker) {
-                stayingSinceMs.delete(worker);
+                longRunningOnlySinceMs.delete(worker);
             }
         }
     }
 
-    /** Given up where the pool needs the room meanwhile; over where nothing is left on the worker. */
-    function goOn(worker: Worker, isShort: boolean, nowMs: number): void {
+    /** Stops more of the worker's tasks. Gives up if the pool needs the capacity, and ends when the worker is empty. */
+    function continueEmptying(worker: Worker, isShort: boolean, nowMs: number): void {
         if (isShort || worker.runs.size === 0 || !worker.isListed) {
-            emptying.delete(worker.pool);
+            emptyingByPool.delete(worker.pool);
             worker.isReserved = false;
             return;
         }
         for (const run of chooseEvacuations(worker, { board, isUrgent: false, nowMs, maxStopMs: opts.maxStopMs })) {
-            opts.stop(run, "its task moves to a worker in use");
+            opts.stop(run, "its task is consolidated onto a worker in use");
         }
     }
 
@@ -60,22 +62,22 @@
         decide(demand) {
             const nowMs = clocks.steadyMs();
             const pools = groupByPool(board);
-            forgetGone();
+            removeGoneWorkers();
             for (const need of demand) {
                 const workers = pools.get(need.pool) ?? [];
-                noteStaying(workers, nowMs);
+                updateLongRunningOnly(workers, nowMs);
                 const shortage = findShortage(need);
-                const current = emptying.get(need.pool);
+                const current = emptyingByPool.get(need.pool);
                 const worker = current ?? chooseConsolidation({
                     workers: need.isStandby ? [] : workers,
                     spareCpuMillis: -shortage - need.reserveCpuMillis,
-                    stayingMs: (each) => nowMs - (stayingSinceMs.get(each) ?? nowMs),
+                    stayingMs: (each) => nowMs - (longRunningOnlySinceMs.get(each) ?? nowMs),
                     nowMs,
                 });
                 if (worker !== undefined) {
-                    emptying.set(need.pool, worker);
+                    emptyingByPool.set(need.pool, worker);
                     worker.isReserved = true;
-                    goOn(worker, current !== undefined && shortage > 0, nowMs);
+                    continueEmptying(worker, current !== undefined && shortage > 0, nowMs);
                 }
             }
         },
--- a/src/scheduler/createFleetKeeper.ts
+++ b/src/scheduler/createFleetKeeper.ts
@@ -28,45 +28,48 @@
     readonly orders: MachineOrders;
     readonly meter: DemandMeter;
     readonly estimates: Estimates;
-    /** Time from a decision to move a machine until it takes work, in milliseconds. */
+    /** Time from the decision to move a machine until it takes work, in milliseconds. */
     readonly joinMs: number;
     readonly policy: () => Policy | undefined;
     readonly waves: () => readonly Wave[];
     readonly evacuatedZones: () => ReadonlySet<string>;
-    /** How long an upkeep takes, in milliseconds. */
+    /** How long the maintenance of a machine takes, in milliseconds. */
     readonly maintenanceMs: number;
-    /** Orders to machines that the platform takes a second, over all entries. */
+    /** Machine orders that the platform accepts per second, over all entries. */
     readonly ordersPerSecond: number;
-    /** Longest time that a stop takes on a worker, in milliseconds. */
+    /** Longest time that a worker takes to stop a task, in milliseconds. */
     readonly maxStopMs: number;
+    /** Writes the state of a wave for the operators. Resolves to `false` if it is not in the store. */
     readonly reportWave: (wave: number, isComplete: boolean) => Promise<boolean>;
     stop(run: Run, reason: string): void;
-    /** Asks a worker at once what it runs. */
+    /** Polls a worker's run list at once. */
     lookNow(worker: Worker): void;
     onLifeEnded(worker: Worker, reason: string): void;
+    /** Called after machine orders have been sent. */
     onChange(): void;
 }
 
+/** Decides machine moves and maintenance in a loop. */
 export interface FleetKeeper {
-    /** Whether an order to the worker's machine is under way, which may end the worker. */
+    /** Whether an order for the worker's machine is pending, which may end the worker. */
     isOrdered(worker: Worker): boolean;
     start(): void;
     stop(): void;
 }
 
-/** How often moves and upkeep are decided, in milliseconds. */
-const decideMs = 150;
+/** Interval between decisions on moves and maintenance, in milliseconds. */
+const decisionIntervalMs = 150;
 
-/** Part of the platform's rate of orders that moves use; upkeeps and orders sent again need the rest. */
-const rateShare = 0.9;
+/** Share of the platform's order rate that moves may use. Maintenance and repeated orders need the rest. */
+const moveRateShare = 0.9;
 
-/** How often the room of each pool is logged, in milliseconds. */
-const reportMs = 1000;
+/** Interval between logs of each pool's capacity and use, in milliseconds. */
+const reportIntervalMs = 1000;
 
-/** Moves machines to where work waits, parks idle ones, and takes waves through their upkeep. */
+/** Moves machines to pools with waiting work, moves idle ones to the standby pool, and carries out maintenance waves. */
 export function createFleetKeeper(opts: FleetKeeperOptions): FleetKeeper {
     const { board, clocks } = opts;
-    const ordersPerRound = Math.max(1, Math.floor(opts.ordersPerSecond * decideMs / 1000 * rateShare));
+    const maxMovesPerRound = Math.max(1, Math.floor(opts.ordersPerSecond * decisionIntervalMs / 1000 * moveRateShare));
     const standby = () => [...opts.policy()?.services.values() ?? []].find(({ isStandby }) => isStandby)?.name;
     const view = createFleetView({ ...opts, standby });
     const waves = createWaves({ ...opts, view, standby });
@@ -75,25 +78,25 @@
     let isStopped = false;
     let timer: NodeJS.Timeout | undefined;
 
-    function reportRoom(demand: readonly PoolDemand[]): void {
+    function reportPoolUsage(demand: readonly PoolDemand[]): void {
         const nowMs = clocks.steadyMs();
-        if (nowMs - reportedAtMs < reportMs) {
+        if (nowMs - reportedAtMs < reportIntervalMs) {
             return;
         }
         reportedAtMs = nowMs;
         const pools = groupByPool(board);
         for (const { pool, isStandby, waitingCpuMillis, neededCpuMillis, comingCpuMillis: coming } of demand) {
-            const room = sumRoom(pools.get(pool) ?? []);
+            const usage = sumRoom(pools.get(pool) ?? []);
             if (!isStandby) {
                 opts.report({
                     kind: "room",
                     pool,
-                    workers: room.workers,
-                    emptyWorkers: room.emptyWorkers,
-                    stayingWorkers: room.stayingWorkers,
-                    cores: toCores(room.cpuMillis),
-                    longRunningCores: toCores(room.longRunningCpuMillis),
-                    shortCores: toCores(room.shortCpuMillis),
+                    workers: usage.workers,
+                    emptyWorkers: usage.emptyWorkers,
+                    stayingWorkers: usage.stayingWorkers,
+                    cores: toCores(usage.cpuMillis),
+                    longRunningCores: toCores(usage.longRunningCpuMillis),
+                    shortCores: toCores(usage.shortCpuMillis),
                     waitingCores: toCores(waitingCpuMillis),
                     neededCores: toCores(neededCpuMillis),
                     comingCores: toCores(coming),
@@ -103,29 +106,32 @@
     }
 
     /**
-     * Moves and upkeep of one round. Machines of a wave that has time left serve first and go down when their pool can do
-     * without them; in a wave that has none left they go down before anything else.
+     * Chooses the moves and maintenance orders of one round. While a wave has time left, its machines keep working, and
+     * are maintained when their pool can do without them. When a wave has no time left, its maintenance is chosen
+     * before anything else.
      */
-    function choose(demand: readonly PoolDemand[]): readonly MachineOrder[] {
-        const open = waves.listOpen();
-        const pressing = open.filter(({ mayWait }) => !mayWait);
-        const due = pressing.flatMap((wave) => waves.decide(wave, () => false));
-        const wanted = new Set(due.map(({ machine }) => machine));
-        [...view.machines.keys()].filter(waves.isEmptying).forEach((id) => wanted.add(id));
+    function chooseOrders(demand: readonly PoolDemand[]): readonly MachineOrder[] {
+        const openWaves = waves.listOpen();
+        const urgentWaves = openWaves.filter(({ mayWait }) => !mayWait);
+        const urgentMaintenance = urgentWaves.flatMap((wave) => waves.decide(wave, () => false));
+        const maintenanceIds = new Set(urgentMaintenance.map(({ machine }) => machine));
+        [...view.machines.keys()].filter(waves.isEmptying).forEach((id) => maintenanceIds.add(id));
         const moves = chooseMoves({
             pools: demand,
-            idle: view.listIdle(wanted),
+            idle: view.listIdle(maintenanceIds),
             impossible: view.impossible,
-            maxMoves: ordersPerRound,
+            maxMoves: maxMovesPerRound,
         });
-        const moving = new Set(moves.map(({ machine }) => machine));
-        const shortage = new Map(demand.map((pool) => [pool.pool, pool.isStandby ? 0 : findShortage(pool)]));
+        const movingIds = new Set(moves.map(({ machine }) => machine));
+        const shortageByPool = new Map(demand.map((pool) => [pool.pool, pool.isStandby ? 0 : findShortage(pool)]));
         const isNeeded = ({ id, pool, capacity }: Machine) =>
-            moving.has(id) || (pool !== standby() && (shortage.get(pool) ?? 0) + capacity.cpuMillis > 0);
-        const later = open.filter(({ mayWait }) => mayWait).flatMap((wave) => waves.decide(wave, isNeeded));
+            movingIds.has(id) || (pool !== standby() && (shortageByPool.get(pool) ?? 0) + capacity.cpuMillis > 0);
+        const deferrableMaintenance = openWaves.filter(({ mayWait }) => mayWait).flatMap((wave) =>
+            waves.decide(wave, isNeeded)
+        );
         return [
-            ...due,
-            ...later,
+            ...urgentMaintenance,
+            ...deferrableMaintenance,
             ...moves.map(({ machine, to }) => ({ kind: "move", machine, pool: to }) as const),
         ];
     }
@@ -149,25 +155,25 @@
             timeOfDayMs: Date.now(),
             joinMs: opts.joinMs,
         });
-        reportRoom(demand);
+        reportPoolUsage(demand);
         consolidator.decide(demand);
-        const list = choose(demand);
-        if (list.length > 0) {
-            view.send(list);
+        const chosenOrders = chooseOrders(demand);
+        if (chosenOrders.length > 0) {
+            view.send(chosenOrders);
             opts.onChange();
         }
     }
 
-    async function run(): Promise<void> {
+    async function runLoop(): Promise<void> {
         while (!isStopped) {
             await decide();
-            await new Promise((resolve) => timer = setTimeout(resolve, decideMs));
+            await new Promise((resolve) => timer = setTimeout(resolve, decisionIntervalMs));
         }
     }
 
     return {
         isOrdered: view.isOrdered,
-        start: () => void run(),
+        start: () => void runLoop(),
         stop() {
             isStopped = true;
             clearTimeout(timer);
--- a/src/scheduler/createFleetView.ts
+++ b/src/scheduler/createFleetView.ts
@@ -9,88 +9,97 @@
     readonly report: Reporter;
     readonly machines: Machines;
     readonly orders: MachineOrders;
-    /** How long an upkeep takes, in milliseconds. */
+    /** How long the maintenance of a machine takes, in milliseconds. */
     readonly maintenanceMs: number;
-    /** Pool whose machines are off; `undefined` where there is none. */
+    /** Name of the pool whose machines are switched off, or `undefined` if there is none. */
     readonly standby: () => string | undefined;
     readonly evacuatedZones: () => ReadonlySet<string>;
-    /** Asks a worker at once what it runs. */
+    /** Polls a worker's run list at once. */
     lookNow(worker: Worker): void;
     onLifeEnded(worker: Worker, reason: string): void;
 }
 
+/** A maintenance that has been ordered and is not known to be over. */
 export interface OrderedUpkeep {
+    /** Id of the machine. */
     readonly machine: string;
-    /** The order got no answer; it may be carried out yet. */
+    /** Whether the order got no answer. It may still be carried out. */
     readonly isUnanswered: boolean;
-    /** The platform's list has shown the upkeep since it was ordered first. */
+    /** Whether the platform's list has shown the maintenance since the first order. */
     readonly isSeen: boolean;
 }
 
-/** What an owner knows of the machines, and what is on its way with them by its orders. */
+/** The leader's view of the machines and of its pending machine orders. */
 export interface FleetView {
     readonly machines: ReadonlyMap<string, Machine>;
-    /** Machines that cannot join a pool, as "machine pool". */
+    /** Orders that the platform reported as impossible: "machine pool" for moves, "machine" for maintenance. */
     readonly impossible: ReadonlySet<string>;
     /** Whether the platform's list has been read. */
     isKnown(): boolean;
-    /** Reads the platform's list where the last reading is old. */
+    /** Reads the platform's list if the last copy is too old. */
     refresh(): Promise<void>;
+    /** Returns the worker that the platform's list shows on a machine. */
     workerOf(machine: Machine | undefined): Worker | undefined;
-    /** Whether an order to the worker's machine is under way, which may end the worker. */
+    /** Whether an order for the worker's machine is pending, which may end the worker. */
     isOrdered(worker: Worker): boolean;
-    /** Nothing is on its way with the machine, and no earlier owner's order can be. */
+    /** Whether the machine can be ordered: no order is pending, and none of an earlier leader can be. */
     isFree(id: string): boolean;
-    /** Machines without work, but for those that are wanted for something else. */
+    /**
+     * Lists machines without work.
+     *
+     * @param wanted ids of machines that are left out because they are wanted for something else
+     */
     listIdle(wanted: ReadonlySet<string>): readonly IdleMachine[];
-    /** Processors of machines on their way to a pool, in thousandths. */
+    /** Cores of the machines that are moving to a pool, in thousandths. */
     comingCpuMillis(pool: string): number;
-    /** Machines whose upkeep for a wave was ordered and is not known to be over. */
+    /** Lists machines whose maintenance for a wave was ordered and is not known to be over. */
     onUpkeep(wave: number): readonly OrderedUpkeep[];
+    /** Sends machine orders and reserves their workers. Does not wait for the answers. */
     send(orders: readonly MachineOrder[]): void;
 }
 
-/** How often the list of machines is read while nothing is under way, in milliseconds; each page is paid for. */
-const listMs = 1000;
+/** How often the machine list is read while no order is pending, in milliseconds. Each page of the list is billed. */
+const listIntervalMs = 1000;
 
-/** The same while machines are on their way. */
-const busyListMs = 300;
+/** How often the machine list is read while orders are pending, in milliseconds. */
+const pendingListIntervalMs = 300;
 
-/** A machine whose order met an obstacle is left alone for this long, in milliseconds. */
-const obstacleMs = 1000;
+/** A machine whose order was rejected gets no other order for this long, in milliseconds. */
+const rejectedBackoffMs = 1000;
 
-/** A machine that was ordered and has not shown up again counts as on its way for this long, in milliseconds. */
-const onItsWayMs = 6000;
+/** An order counts as pending for this long if the list does not show the machine back, in milliseconds. */
+const orderTimeoutMs = 6000;
 
-interface Journey {
-    readonly toPool: string;
-    readonly workerBefore: string | undefined;
-    /** The worker, as the board had it; tells its life from a later one under the same id. */
-    readonly lifeBefore: Worker | undefined;
+/** A machine order whose effect has not been observed in full. */
+interface PendingOrder {
+    readonly targetPool: string;
+    readonly workerIdBefore: string | undefined;
+    /** The worker's record at the time of the order. Distinguishes its incarnation from a later one under the same id. */
+    readonly incarnationBefore: Worker | undefined;
     readonly orderedAtMs: number;
-    /** When the order was answered as done; it takes its time from then at the earliest. */
+    /** When the order was answered as done. Its effect begins then or later. */
     answeredAtMs: number | undefined;
-    /** The order got no answer; it may be carried out yet. */
+    /** Whether the order got no answer. It may still be carried out. */
     isUnanswered: boolean;
     readonly wave: number | undefined;
-    /** The platform's list has shown it away since. */
-    wasAway: boolean;
-    /** The platform's list has shown it at its upkeep since the first order. */
-    wasMaintained: boolean;
-    /** When the worker was asked whether it is still there. */
-    askedAtMs: number | undefined;
+    /** Whether the platform's list has shown the machine missing or not up since the order. */
+    wasObservedAway: boolean;
+    /** Whether the platform's list has shown the machine in maintenance since the first order. */
+    wasObservedInMaintenance: boolean;
+    /** When the worker was polled to find out whether it still runs. */
+    polledAtMs: number | undefined;
 }
 
-/** Follows the platform's list of machines and the orders that are under way to them. */
+/** Tracks the platform's machine list and the pending machine orders. */
 export function createFleetView(opts: FleetViewOptions): FleetView {
     const { board, clocks, orders } = opts;
     const machines = new Map<string, Machine>();
-    const journeys = new Map<string, Journey>();
-    const obstacles = new Map<string, number>();
+    const pendingOrders = new Map<string, PendingOrder>();
+    const blockedUntilMs = new Map<string, number>();
     const impossible = new Set<string>();
     let listedAtMs = Number.NEGATIVE_INFINITY;
 
-    async function readList(): Promise<void> {
+    async function readMachines(): Promise<void> {
         const sentAtMs = clocks.steadyMs();
         const result = await opts.machines.list();
         if (result.kind === "noAnswer") {
@@ -100,86 +109,93 @@
         result.machines.forEach(reportChange);
         machines.clear();
         result.machines.forEach((machine) => machines.set(machine.id, machine));
-        for (const [id, journey] of journeys) {
+        for (const [id, pending] of pendingOrders) {
             const machine = machines.get(id);
-            if (sentAtMs <= journey.orderedAtMs) {
+            if (sentAtMs <= pending.orderedAtMs) {
                 continue;
             }
-            journey.wasAway ||= machine?.state !== "up";
-            journey.wasMaintained ||= machine?.state === "maintenance";
+            pending.wasObservedAway ||= machine?.state !== "up";
+            pending.wasObservedInMaintenance ||= machine?.state === "maintenance";
             if (machine !== undefined) {
-                settleLife(journey, machine, sentAtMs);
+                endIfGone(pending, machine, sentAtMs);
             }
-            if (isOver(journey, machine, sentAtMs)) {
-                journeys.delete(id);
+            if (isSettled(pending, machine, sentAtMs)) {
+                pendingOrders.delete(id);
                 release(workerOf(machine));
             }
         }
     }
 
-    /** The order was lost, or sent again when the next worker was up: nothing else would give this one work again. */
+    /**
+     * Lets a worker take work again. Its order was lost, or was sent again after the next worker had started. Nothing
+     * else would end the reservation.
+     */
     function release(worker: Worker | undefined): void {
         if (worker !== undefined) {
             worker.isReserved = false;
         }
     }
 
-    /** The worker that was on the machine when it was ordered, while the board has this life of it. */
-    function findLife(before: Worker | undefined): Worker | undefined {
+    /** Finds the worker that ran on the machine at the time of the order, if this incarnation is still the known one. */
+    function findIncarnation(before: Worker | undefined): Worker | undefined {
         const worker = before === undefined ? undefined : board.workers.get(before.id);
         return worker?.bornMs === before?.bornMs ? worker : undefined;
     }
 
     /**
-     * Ends a worker's life once the list shows it gone. The answer "done" does not tell: an order that had been carried out
-     * before, as by an earlier owner whose record of it is missing, gets it too and ends nothing. A list may be old, so a
-     * worker with runs has to be silent as well: taken for gone, it would run on what is started a second time elsewhere.
+     * Ends a worker's incarnation once the list no longer shows it. The answer "done" is not enough: an order that was
+     * carried out before, such as by an earlier leader whose record of it is missing, gets the same answer and ends
+     * nothing. A list may be stale, so a worker with runs has to be unreachable as well. If such a worker were taken as
+     * ended while it still runs, its tasks would be started a second time elsewhere.
      */
-    function settleLife(journey: Journey, machine: Machine, listSentAtMs: number): void {
-        const worker = findLife(journey.lifeBefore);
+    function endIfGone(pending: PendingOrder, machine: Machine, listSentAtMs: number): void {
+        const worker = findIncarnation(pending.incarnationBefore);
         if (worker === undefined) {
             return;
         }
-        const isGone = hasLeft(worker, machine);
+        const isGone = hasLeftMachine(worker, machine);
         if (isGone && (worker.runs.size === 0 || !worker.isReachable)) {
-            opts.onLifeEnded(worker, "its machine was ordered and shows without it");
+            opts.onLifeEnded(worker, "the platform lists its machine without it after a machine order");
             return;
         }
-        const isDoubtful = isGone || listSentAtMs > (journey.answeredAtMs ?? Number.POSITIVE_INFINITY);
-        if (isDoubtful && journey.askedAtMs === undefined) {
-            journey.askedAtMs = clocks.steadyMs();
+        const isUncertain = isGone || listSentAtMs > (pending.answeredAtMs ?? Number.POSITIVE_INFINITY);
+        if (isUncertain && pending.polledAtMs === undefined) {
+            pending.polledAtMs = clocks.steadyMs();
             opts.lookNow(worker);
         }
     }
 
-    /** Sets machines free whose worker, asked after the answer "done", has shown what it runs: nothing ended there. */
-    function dropSpared(): void {
-        for (const [id, { lifeBefore, askedAtMs, answeredAtMs }] of journeys) {
-            const worker = findLife(lifeBefore);
-            const isSpared = askedAtMs !== undefined && answeredAtMs !== undefined
-                && worker?.runList.kind === "read" && worker.runList.askedAtMs >= Math.max(askedAtMs, answeredAtMs);
-            if (isSpared) {
-                journeys.delete(id);
+    /**
+     * Releases machines whose worker answered a poll that was sent after the answer "done": the order did not end the
+     * worker.
+     */
+    function releaseUnaffected(): void {
+        for (const [id, { incarnationBefore, polledAtMs, answeredAtMs }] of pendingOrders) {
+            const worker = findIncarnation(incarnationBefore);
+            const isUnaffected = polledAtMs !== undefined && answeredAtMs !== undefined
+                && worker?.runList.kind === "read" && worker.runList.askedAtMs >= Math.max(polledAtMs, answeredAtMs);
+            if (isUnaffected) {
+                pendingOrders.delete(id);
                 release(worker);
             }
         }
     }
 
     /**
-     * An upkeep that was ordered counts as going on until it has been answered and its time has passed: the list lags, and
-     * an order without an answer may be carried out seconds later. Another machine taken down meanwhile would be one
-     * more than the operator allows.
+     * Whether an order's effect is over. An ordered maintenance counts as in progress until the order has been answered
+     * and the maintenance time has passed. The list lags behind, and an order without an answer may be carried out
+     * seconds later. If another machine were taken down meanwhile, one more than the operator allows would be down.
      */
-    function isOver(journey: Journey, machine: Machine | undefined, listSentAtMs: number): boolean {
-        const isOther = journey.wasAway || machine?.workerId !== journey.workerBefore;
-        const isBack = machine?.state === "up" && isOther;
-        const isOverdue = clocks.steadyMs() - journey.orderedAtMs > onItsWayMs;
-        if (journey.wave === undefined) {
+    function isSettled(pending: PendingOrder, machine: Machine | undefined, listSentAtMs: number): boolean {
+        const isChanged = pending.wasObservedAway || machine?.workerId !== pending.workerIdBefore;
+        const isBack = machine?.state === "up" && isChanged;
+        const isOverdue = clocks.steadyMs() - pending.orderedAtMs > orderTimeoutMs;
+        if (pending.wave === undefined) {
             return isBack || isOverdue;
         }
-        const isLongEnough = journey.answeredAtMs !== undefined
-            && listSentAtMs - journey.answeredAtMs > opts.maintenanceMs;
-        return isLongEnough && (isBack || isOverdue);
+        const isMaintenanceTimeOver = pending.answeredAtMs !== undefined
+            && listSentAtMs - pending.answeredAtMs > opts.maintenanceMs;
+        return isMaintenanceTimeOver && (isBack || isOverdue);
     }
 
     function reportChange({ id, state, pool, workerId }: Machine): void {
@@ -197,40 +213,40 @@
         return machine !== undefined && opts.evacuatedZones().has(machine.zone);
     }
 
-    function isFree(id: string): boolean {
-        const isObstructed = (obstacles.get(id) ?? 0) > clocks.steadyMs();
-        return !journeys.has(id) && !isObstructed && !orders.isBlocked(id);
+    function canOrder(id: string): boolean {
+        const isBackingOff = (blockedUntilMs.get(id) ?? 0) > clocks.steadyMs();
+        return !pendingOrders.has(id) && !isBackingOff && !orders.isBlocked(id);
     }
 
     function applyResult(order: MachineOrder, result: MachineOrderResult): void {
-        const journey = journeys.get(order.machine);
-        const worker = findLife(journey?.lifeBefore);
+        const pending = pendingOrders.get(order.machine);
+        const worker = findIncarnation(pending?.incarnationBefore);
         switch (result.kind) {
             case "done":
-                if (journey !== undefined) {
-                    journey.answeredAtMs = clocks.steadyMs();
-                    journey.askedAtMs = undefined;
+                if (pending !== undefined) {
+                    pending.answeredAtMs = clocks.steadyMs();
+                    pending.polledAtMs = undefined;
                 }
                 return;
             case "noAnswer":
-                if (journey !== undefined) {
-                    journey.isUnanswered = true;
+                if (pending !== undefined) {
+                    pending.isUnanswered = true;
                 }
                 return;
             case "impossible":
                 impossible.add(order.kind === "move" ? `${order.machine} ${order.pool}` : order.machine);
-                takeBack(order, worker);
+                discardOrder(order, worker);
                 return;
             case "fenced":
             case "busy":
             case "notNow":
-                takeBack(order, worker);
+                discardOrder(order, worker);
         }
     }
 
-    function takeBack(order: MachineOrder, worker: Worker | undefined): void {
-        journeys.delete(order.machine);
-        obstacles.set(order.machine, clocks.steadyMs() + obstacleMs);
+    function discardOrder(order: MachineOrder, worker: Worker | undefined): void {
+        pendingOrders.delete(order.machine);
+        blockedUntilMs.set(order.machine, clocks.steadyMs() + rejectedBackoffMs);
         release(worker);
         release(workerOf(machines.get(order.machine)));
     }
@@ -240,21 +256,22 @@
         impossible,
         isKnown: () => listedAtMs > 0,
         async refresh() {
-            dropSpared();
+            releaseUnaffected();
             const ageMs = clocks.steadyMs() - listedAtMs;
-            if (ageMs > (journeys.size > 0 ? busyListMs : listMs)) {
-                await readList();
+            if (ageMs > (pendingOrders.size > 0 ? pendingListIntervalMs : listIntervalMs)) {
+                await readMachines();
             }
         },
         workerOf,
-        isOrdered: (worker) => [...journeys.values()].some(({ lifeBefore }) => findLife(lifeBefore) === worker),
-        isFree,
+        isOrdered: (worker) =>
+            [...pendingOrders.values()].some(({ incarnationBefore }) => findIncarnation(incarnationBefore) === worker),
+        isFree: canOrder,
         listIdle(wanted) {
             const standby = opts.standby();
             const nowMs = clocks.steadyMs();
             const idle: IdleMachine[] = [];
             for (const machine of machines.values()) {
-                if (machine.state !== "up" || !isFree(machine.id) || wanted.has(machine.id)) {
+                if (machine.state !== "up" || !canOrder(machine.id) || wanted.has(machine.id)) {
                     continue;
                 }
                 const worker = workerOf(machine);
@@ -273,14 +290,14 @@
             return idle;
         },
         comingCpuMillis: (pool) =>
-            [...journeys].filter(([id, journey]) => journey.toPool === pool && !isEvacuated(machines.get(id)))
+            [...pendingOrders].filter(([id, pending]) => pending.targetPool === pool && !isEvacuated(machines.get(id)))
                 .reduce((sum, [id]) => sum + (machines.get(id)?.capacity.cpuMillis ?? 0), 0),
         onUpkeep: (wave) =>
-            [...journeys].filter(([, journey]) => journey.wave === wave)
-                .map(([machine, { isUnanswered, wasMaintained }]) => ({
+            [...pendingOrders].filter(([, pending]) => pending.wave === wave)
+                .map(([machine, { isUnanswered, wasObservedInMaintenance }]) => ({
                     machine,
                     isUnanswered,
-                    isSeen: wasMaintained,
+                    isSeen: wasObservedInMaintenance,
                 })),
         send(list) {
             const nowMs = clocks.steadyMs();
@@ -290,28 +307,31 @@
                 if (worker !== undefined) {
                     worker.isReserved = true;
                 }
-                const known = journeys.get(order.machine);
-                journeys.set(order.machine, {
-                    toPool: order.kind === "move" ? order.pool : machine?.pool ?? "",
-                    workerBefore: known?.workerBefore ?? machine?.workerId,
-                    lifeBefore: worker ?? known?.lifeBefore,
+                const known = pendingOrders.get(order.machine);
+                pendingOrders.set(order.machine, {
+                    targetPool: order.kind === "move" ? order.pool : machine?.pool ?? "",
+                    workerIdBefore: known?.workerIdBefore ?? machine?.workerId,
+                    incarnationBefore: worker ?? known?.incarnationBefore,
                     orderedAtMs: nowMs,
                     answeredAtMs: undefined,
                     isUnanswered: false,
                     wave: order.kind === "maintain" ? order.wave : undefined,
-                    wasAway: false,
-                    wasMaintained: known?.wasMaintained ?? false,
-                    askedAtMs: undefined,
+                    wasObservedAway: false,
+                    wasObservedInMaintenance: known?.wasObservedInMaintenance ?? false,
+                    polledAtMs: undefined,
                 });
             }
-            // Not waited for: an interface that answers slowly must not hold up the next decisions.
+            // Not awaited, because a slow answer of the platform's API must not delay the next decisions.
             void orders.send(list, applyResult);
         },
     };
 }
 
-/** Whether the list shows a machine on its way, or with another worker; one that is only down may still run things. */
-function hasLeft(worker: Worker, { state, workerId }: Machine): boolean {
+/**
+ * Whether the list shows that a worker has left its machine, because the machine is moving, in maintenance or has another
+ * worker. The worker of a machine that is only down may still run tasks.
+ */
+function hasLeftMachine(worker: Worker, { state, workerId }: Machine): boolean {
     switch (state) {
         case "moving":
         case "maintenance":
--- a/src/scheduler/createIntake.ts
+++ b/src/scheduler/createIntake.ts
@@ -24,53 +24,64 @@
     readonly report: Reporter;
     readonly steadyMs: () => number;
     stop(run: Run, reason: string): void;
-    /** The worker of a run that an earlier owner recorded. */
+    /** Finds or adds the worker of a run that an earlier leader recorded. */
     findWorker(id: string, bornMs: number): Worker;
-    /** Records the submission as it is now. */
+    /** Writes the submission's current progress to the store. */
     save(entry: SubmissionEntry): void;
 }
 
-/** What earlier owners recorded of a submission, and at which revision. */
+/** Progress of a submission as recorded by earlier leaders, and the revision of that record. */
 export interface StoredProgress {
     readonly tasks: readonly TaskProgress[];
     readonly revision: number;
 }
 
-/** The submissions of a tenure, from the store's record to their end. */
+/** Tracks submissions during a tenure, from their record in the store to their final state. */
 export interface Intake {
-    /** What earlier owners recorded; to be given before any submission. */
+    /** Sets the progress that earlier leaders recorded. Has to be called before any submission is handled. */
     restoreFrom(progress: ReadonlyMap<string, StoredProgress>): void;
-    /** A submission's record in the store is new or has changed; `undefined`: it was removed. */
+    /** Handles a new or changed submission record from the store. `item` is `undefined` if the record was removed. */
     take(key: string, item: StoreItem | undefined): void;
+    /** Marks a submission as cancelled and decides its final state. */
     cancel(entry: SubmissionEntry): void;
-    /** Decides the end of a submission where it has come, once. */
+    /**
+     * Decides a submission's final state once its tasks or a cancellation determine it, stops its runs and saves it. Does
+     * nothing if the state is decided already.
+     */
     settle(entry: SubmissionEntry): void;
-    /** The end is in the store. */
+    /** Handles that the final state has been written to the store. */
     noteEnded(entry: SubmissionEntry): void;
+    /** Whether the final state is in the store. */
     hasEnded(entry: SubmissionEntry): boolean;
-    /** Takes a submission off the board whose end is stored and of which nothing runs. */
+    /** Removes a submission from the scheduler state if its final state is stored and none of its tasks runs. */
     forgetIfOver(entry: SubmissionEntry): void;
     findState(id: string): SubmissionState | undefined;
+    /** Counts the submissions of a queue that have not started and are not cancelled. */
     countPending(route: string): number;
-    /** Ids of submissions that ended longer ago than this time of day; each is given once, `most` at a time. */
-    takeEndedBefore(cutMs: number, most: number): readonly string[];
+    /**
+     * Returns the ids of submissions that ended before a time of day. Returns each id once.
+     *
+     * @param endedBeforeMs milliseconds since 1970
+     * @param maxIds maximum number of ids returned
+     */
+    takeEndedBefore(endedBeforeMs: number, maxIds: number): readonly string[];
 }
 
-/** Takes submissions in from the store and follows each to its end. */
+/** Creates a tracker that adds submissions from the store and follows each to its final state. */
 export function createIntake(opts: IntakeOptions): Intake {
     const { board, report, steadyMs } = opts;
-    const finished = new Map<string, { readonly state: FinalState; readonly atMs: number; }>();
-    let progress: ReadonlyMap<string, StoredProgress> = new Map();
+    const finalStates = new Map<string, { readonly state: FinalState; readonly atMs: number; }>();
+    let storedProgress: ReadonlyMap<string, StoredProgress> = new Map();
 
-    function take(key: string, item: StoreItem | undefined): void {
+    function applyRecord(key: string, item: StoreItem | undefined): void {
         const id = key.slice(submissionPrefix.length);
         const record = item === undefined ? undefined : decodeRecord(item.text);
         if (item === undefined || record === undefined) {
-            finished.delete(id);
+            finalStates.delete(id);
             return;
         }
         if (record.kind === "final") {
-            finished.set(id, { state: record.state, atMs: record.endedAtMs });
+            finalStates.set(id, { state: record.state, atMs: record.endedAtMs });
             return;
         }
         const known = board.submissions.get(id);
@@ -83,7 +94,7 @@
         }
         const nowMs = steadyMs();
         const entry = addSubmission(board, record.submission, item.revision, record.isCancelled, nowMs);
-        const stored = progress.get(progressKey(id));
+        const stored = storedProgress.get(progressKey(id));
         if (stored !== undefined) {
             entry.progressRevision = stored.revision;
             restoreProgress(board, entry, stored.tasks, opts.findWorker, nowMs);
@@ -132,30 +143,30 @@
     }
 
     function forgetIfOver(entry: SubmissionEntry): void {
-        // Runs that are still being stopped are looked up by their submission.
-        const isOver = finished.has(entry.submission.id) && entry.ending !== undefined;
-        if (isOver && [...tasksOf(entry)].every((task) => task.runs.length === 0)) {
+        // Runs that are still being stopped are found through their submission.
+        const isFinal = finalStates.has(entry.submission.id) && entry.ending !== undefined;
+        if (isFinal && [...tasksOf(entry)].every((task) => task.runs.length === 0)) {
             board.submissions.delete(entry.submission.id);
         }
     }
 
     return {
-        restoreFrom: (next) => void (progress = next),
-        take,
+        restoreFrom: (next) => void (storedProgress = next),
+        take: applyRecord,
         cancel,
         settle,
         noteEnded(entry) {
             if (entry.ending !== undefined) {
-                finished.set(entry.submission.id, { state: entry.ending, atMs: Date.now() });
+                finalStates.set(entry.submission.id, { state: entry.ending, atMs: Date.now() });
                 reportChange(entry, entry.ending);
             }
             forgetIfOver(entry);
         },
-        hasEnded: ({ submission }) => finished.has(submission.id),
+        hasEnded: ({ submission }) => finalStates.has(submission.id),
         forgetIfOver,
         findState(id) {
             const entry = board.submissions.get(id);
-            const state = finished.get(id)?.state;
+            const state = finalStates.get(id)?.state;
             if (state !== undefined || entry === undefined) {
                 return state;
             }
@@ -173,10 +184,12 @@
             }
             return count;
         },
-        takeEndedBefore(cutMs, most) {
-            const old = [...finished].filter(([, { atMs }]) => atMs < cutMs).slice(0, most).map(([id]) => id);
-            old.forEach((id) => finished.delete(id));
-            return old;
+        takeEndedBefore(endedBeforeMs, maxIds) {
+            const ids = [...finalStates].filter(([, { atMs }]) => atMs < endedBeforeMs).slice(0, maxIds).map(([id]) =>
+                id
+            );
+            ids.forEach((id) => finalStates.delete(id));
+            return ids;
         },
     };
 }
--- a/src/scheduler/createPacer.ts
+++ b/src/scheduler/createPacer.ts
@@ -11,24 +11,27 @@
 }
 
 export interface Pacer {
-    /** Sets the pace of a worker's fillers by its latest readings. */
+    /** Sets the CPU share of a worker's fillers from the latest values that the worker reported. */
     adjust(worker: Worker): void;
 }
 
-/** Readings are averages over half a second; a second decision within it would judge the time before the first. */
-const settleMs = 600;
+/**
+ * Minimum time between two adjustments, in milliseconds. Measured values are averages over half a second, so an earlier
+ * second adjustment would be based on values from before the first.
+ */
+const minAdjustIntervalMs = 600;
 
-/** Keeps fillers from pushing the serving tasks beside them over their latency targets. */
+/** Throttles fillers so that the serving tasks on the same worker keep their latency targets. */
 export function createPacer({ api, tenure, clocks }: PacerOptions): Pacer {
     const adjustedAtMs = new WeakMap<Worker, number>();
 
     async function send(run: Run, percent: number): Promise<void> {
-        const before = run.pacePercent;
+        const previousPercent = run.pacePercent;
         run.pacePercent = percent;
         const result = await api.pace(run.worker, run.task.name, run.number, percent, tenure.token);
         if (result.kind !== "taken") {
-            // The next reading tries again.
-            run.pacePercent = before;
+            // The next adjustment retries.
+            run.pacePercent = previousPercent;
         }
     }
 
@@ -37,7 +40,10 @@
             const running = [...worker.runs].filter(({ phase }) => phase === "running");
             const fillers = running.filter(({ task }) => task.step.isFiller);
             const nowMs = clocks.steadyMs();
-            if (fillers.length === 0 || nowMs - (adjustedAtMs.get(worker) ?? 0) < settleMs || !tenure.isValid()) {
+            if (
+                fillers.length === 0 || nowMs - (adjustedAtMs.get(worker) ?? 0) < minAdjustIntervalMs
+                || !tenure.isValid()
+            ) {
                 return;
             }
             adjustedAtMs.set(worker, nowMs);
--- a/src/scheduler/createPlanner.ts
+++ b/src/scheduler/createPlanner.ts
@@ -25,48 +25,49 @@
     readonly policy: () => Policy | undefined;
     readonly advisor: Advisor;
     readonly window: StartWindow;
-    /** Records and orders new runs of a submission. */
+    /** Records new runs of a submission and sends their start requests. */
     startAll(entry: SubmissionEntry, runs: readonly Run[]): void;
 }
 
 export interface Planner {
-    /** Something has changed: a round of planning follows soon. */
+    /** Schedules a planning round, after a change of state. */
     planSoon(): void;
     stop(): void;
 }
 
 /**
- * Shortest time between two rounds of planning, in milliseconds. Each round orders all that waits; hundreds of ends and
- * answers a second would otherwise each start one.
+ * Minimum time between the starts of two planning rounds, in milliseconds. Each round ranks all waiting work. Without a
+ * minimum, hundreds of ends and answers a second would each start a round.
  */
-const planGatherMs = 8;
+const minRoundIntervalMs = 8;
 
 /**
- * Pause after a round, as a multiple of what the round took. With a long backlog a round takes tens of milliseconds on a
- * small instance; planning would leave no time for orders, answers and renewals. This bounds it to a quarter.
+ * Pause after a round, as a multiple of the round's duration. With a long backlog a round takes tens of milliseconds on a
+ * small instance, which would leave no time for requests, answers and lease renewals. This limits planning to a quarter
+ * of the time.
  */
-const planPauseFactor = 3;
+const pauseFactor = 3;
 
-/** Plans starts and copies in rounds. */
+/** Plans starts and speculative runs in rounds. */
 export function createPlanner(opts: PlannerOptions): Planner {
     const { board, estimates, steadyMs } = opts;
     let isDue = false;
     let isStopped = false;
-    let planAgainAtMs = 0;
+    let nextRoundAtMs = 0;
 
     function planSoon(): void {
         if (!isDue && !isStopped) {
             isDue = true;
-            setTimeout(runRound, Math.max(0, planAgainAtMs - steadyMs()));
+            setTimeout(runRound, Math.max(0, nextRoundAtMs - steadyMs()));
         }
     }
 
     function runRound(): void {
-        const beganAtMs = steadyMs();
+        const startedAtMs = steadyMs();
         isDue = false;
-        plan(beganAtMs);
-        const tookMs = steadyMs() - beganAtMs;
-        planAgainAtMs = beganAtMs + Math.max(planGatherMs, tookMs * (1 + planPauseFactor));
+        plan(startedAtMs);
+        const tookMs = steadyMs() - startedAtMs;
+        nextRoundAtMs = startedAtMs + Math.max(minRoundIntervalMs, tookMs * (1 + pauseFactor));
     }
 
     function plan(nowMs: number): void {
@@ -81,11 +82,11 @@
             estimates,
             nowMs,
             timeOfDayMs: Date.now(),
-            allowedWorkers: findAllowed,
+            allowedWorkers: findAllowedWorkers,
             maxStarts,
         });
         const pools = groupByPool(board);
-        const copies = planCopies({
+        const speculative = planCopies({
             board,
             workersOf: (pool) => pools.get(pool) ?? [],
             poolOf: (submission) => routeOf(policy, submission).service,
@@ -93,8 +94,8 @@
             nowMs,
         });
         const bySubmission = new Map<SubmissionEntry, Run[]>();
-        opts.window.add([...planned, ...copies]);
-        for (const run of [...planned, ...copies]) {
+        opts.window.add([...planned, ...speculative]);
+        for (const run of [...planned, ...speculative]) {
             const group = bySubmission.get(run.task.owner) ?? [];
             bySubmission.set(run.task.owner, group);
             group.push(run);
@@ -102,7 +103,7 @@
         bySubmission.forEach((group, entry) => opts.startAll(entry, group));
     }
 
-    function findAllowed(unit: Unit, workers: readonly Worker[]): ReadonlySet<string> | "unknown" | undefined {
+    function findAllowedWorkers(unit: Unit, workers: readonly Worker[]): ReadonlySet<string> | "unknown" | undefined {
         const task = unit.tasks[0];
         if (unit.route.advice === undefined || task === undefined) {
             return undefined;
@@ -117,7 +118,7 @@
     };
 }
 
-/** Name of a task's step for the advice service. */
+/** Returns the name of a task's step for the advice service. */
 export function stepName({ owner, occurrence, stepNumber }: Task): string {
     return `${owner.submission.id}.${occurrence}.${stepNumber}`;
 }
--- a/src/scheduler/createScheduler.ts
+++ b/src/scheduler/createScheduler.ts
@@ -34,20 +34,21 @@
 import { createWorkerIntake } from "./createWorkerIntake";
 import type { WorkerDecoder } from "./workerEntries";
 
-/** Bounds of the platform that decisions depend on. */
+/** Limits and durations of the platform that the scheduler's decisions depend on. */
 export interface SchedulerBounds {
+    /** Longest lease that a worker grants, in milliseconds. */
     readonly maxLeaseMs: number;
-    /** How long finished submissions can be asked for, in milliseconds. */
+    /** How long finished submissions can be queried, in milliseconds. */
     readonly keepFinishedMs: number;
-    /** Two owners must not take turns on a machine within this time, in milliseconds. */
+    /** Minimum time between orders of two different leaders for one machine, in milliseconds. */
     readonly machineTurnMs: number;
-    /** How long the upkeep of a machine takes, in milliseconds. */
+    /** How long the maintenance of a machine takes, in milliseconds. */
     readonly maintenanceMs: number;
     /** How long a machine takes to change its pool, in milliseconds. */
     readonly moveMs: number;
-    /** Orders to machines that the platform takes a second, over all entries. */
+    /** Machine orders that the platform accepts per second, over all entries. */
     readonly machineOrdersPerSecond: number;
-    /** Longest time that a stop takes on a worker, in milliseconds. */
+    /** Longest time that a worker takes to stop a task, in milliseconds. */
     readonly maxStopMs: number;
 }
 
@@ -65,47 +66,58 @@
     readonly policy: () => Policy | undefined;
     readonly waves: () => readonly Wave[];
     readonly evacuatedZones: () => ReadonlySet<string>;
-    /** Whether what operators ask for is known well enough to start anything; an evacuation may have been asked for since. */
+    /**
+     * Whether the operators' policy is recent enough to start tasks. If it is stale, a newer evacuation may be unknown.
+     */
     readonly isPolicyFresh: () => boolean;
-    /** Writes the state of a wave for the operators; gives false where it is not in the store. */
+    /** Writes the state of a wave for the operators. Resolves to `false` if it is not in the store. */
     readonly reportWave: (wave: number, isComplete: boolean) => Promise<boolean>;
-    /** An order was refused for a lower token, or the duty's key is no longer ours. */
+    /** Called when a request was refused because of a lower fencing token, or when the leader key has another holder. */
     onFenced(): void;
 }
 
-/** What an owner does during one tenure. */
+/** The work of the scheduling leader during one tenure. */
 export interface Scheduler {
+    /** Loads the recorded state, then starts to decide. */
     start(): Promise<void>;
-    /** Stops deciding and ordering; what runs goes on under its leases. */
+    /** Stops all decisions and requests. Running tasks continue under their leases. */
     stop(): void;
-    /** Both are `undefined` until all that earlier owners left has been read. */
+    /** Returns `undefined` for an unknown submission, and for all until the state of earlier leaders has been read. */
     findState(id: string): SubmissionState | undefined;
+    /** Returns `undefined` until the state of earlier leaders has been read. */
     countPending(route: string): number | undefined;
+    /** Applies the zones under evacuation and plans again. */
     policyChanged(): void;
 }
 
-/** Changes of submissions come in groups: the pause saves a call for each and adds 25 ms at most. */
-const submissionGatherMs = 25;
+/**
+ * Pause that batches changes of submissions, in milliseconds. It saves a call for each change and delays it by at most
+ * 25 ms.
+ */
+const submissionBatchMs = 25;
 
-/** Workers write every second or so each; a change that matters (a new worker, a drain) may wait this long. */
-const workerGatherMs = 100;
+/**
+ * Pause that batches changes of worker registrations, in milliseconds. Each worker writes about every second. A relevant
+ * change, such as a new worker or a drain, may wait this long.
+ */
+const workerBatchMs = 100;
 
-/** Watches wait this long, in milliseconds; a connection that went silent is noticed by then. */
-const watchWaitMs = 2000;
+/** Long poll timeout of watches, in milliseconds. A silent connection is detected within this time. */
+const watchTimeoutMs = 2000;
 
-/** How often what depends on time alone is looked at, in milliseconds. */
-const tickMs = 100;
+/** Interval of checks that depend on time alone, in milliseconds. */
+const tickIntervalMs = 100;
 
-/** Pause before the state of an earlier owner is read again, in milliseconds. */
+/** Pause before the state of earlier leaders is read again, in milliseconds. */
 const loadRetryMs = 100;
 
 /**
- * What a machine needs to take work beside the move itself, in milliseconds: the next decision on moves, the order, its
- * entry in the store and the first list of its runs.
+ * Time that a machine needs to take work in addition to the move itself, in milliseconds: the next decision on moves, the
+ * order, the worker's registration in the store and its first run list.
  */
 const joinOverheadMs = 250;
 
-/** Decides and orders for all pools while the tenure lasts. */
+/** Schedules tasks and machines of all pools while the tenure lasts. */
 export function createScheduler(opts: SchedulerOptions): Scheduler {
     const { store, tenure, clocks, report } = opts;
     const board = createBoard();
@@ -117,7 +129,7 @@
     let isLoaded = false;
     let timer: NodeJS.Timeout | undefined;
 
-    function fence(): void {
+    function onFenced(): void {
         if (!isStopped) {
             opts.onFenced();
         }
@@ -132,11 +144,11 @@
             task.droppedRuns.add(number);
         }
         removeRun(board, run, nowMs);
-        intake.forgetIfOver(task.owner);
+        submissionTracker.forgetIfOver(task.owner);
         planner.planSoon();
     }
 
-    function onLifeEnded(worker: Worker, reason: string): void {
+    function handleIncarnationEnded(worker: Worker, reason: string): void {
         report({ kind: "workerEnded", worker: worker.id, pool: worker.pool, runs: worker.runs.size, reason });
         worker.isListed = false;
         worker.strays = 0;
@@ -144,29 +156,29 @@
         removeWorker(board, worker);
     }
 
-    const writer = createProgressWriter({
+    const progressWriter = createProgressWriter({
         store,
         tenure,
         report,
-        onFenced: fence,
-        onEnded: (entry) => intake.noteEnded(entry),
-        onCancelled: (entry) => intake.cancel(entry),
+        onFenced,
+        onEnded: (entry) => submissionTracker.noteEnded(entry),
+        onCancelled: (entry) => submissionTracker.cancel(entry),
     });
-    const window = createStartWindow(clocks.steadyMs);
-    const runs = createRuns({
+    const startWindow = createStartWindow(clocks.steadyMs);
+    const runControl = createRuns({
         api: opts.workerApi,
         tenure,
         clocks,
         report,
         drop,
-        onFenced: fence,
-        onLifeEnded,
-        lookNow: (worker) => looks.lookNow(worker),
-        findTicket: ({ task, worker }) => advisor.ticket(stepName(task), worker.id),
-        onStartAnswered: window.noteAnswer,
+        onFenced,
+        onLifeEnded: handleIncarnationEnded,
+        lookNow: (worker) => polling.lookNow(worker),
+        findTicket: ({ task, worker }) => permitCache.ticket(stepName(task), worker.id),
+        onStartAnswered: startWindow.noteAnswer,
         onChange: () => planner.planSoon(),
     });
-    const looks = createLooks({
+    const polling = createLooks({
         api: opts.workerApi,
         tenure,
         clocks,
@@ -179,48 +191,48 @@
                 policy: opts.policy(),
                 estimates,
                 nowMs: clocks.steadyMs(),
-                stop: runs.stop,
+                stop: runControl.stop,
             }),
         async save(entry) {
-            intake.settle(entry);
-            return intake.hasEnded(entry) || await writer.save(entry);
+            submissionTracker.settle(entry);
+            return submissionTracker.hasEnded(entry) || await progressWriter.save(entry);
         },
         drop,
-        sendStops: runs.sendStops,
-        onFenced: fence,
-        onLifeEnded,
-        onOtherLife: (worker, bornMs) => workerIntake.noteOtherLife(worker, bornMs),
+        sendStops: runControl.sendStops,
+        onFenced,
+        onLifeEnded: handleIncarnationEnded,
+        onOtherLife: (worker, bornMs) => workerTracker.noteOtherLife(worker, bornMs),
         onListed(worker) {
             pacer.adjust(worker);
             watchdog.check(worker);
         },
         onChange: () => planner.planSoon(),
     });
-    const advisor = createAdvisor({
+    const permitCache = createAdvisor({
         advice: opts.advice,
         steadyMs: clocks.steadyMs,
         report,
         onChange: () => planner.planSoon(),
     });
-    const workerIntake = createWorkerIntake({
+    const workerTracker = createWorkerIntake({
         board,
         decoder: opts.decoder,
         report,
         steadyMs: clocks.steadyMs,
-        onLifeEnded,
-        isOrdered: (worker) => keeper.isOrdered(worker),
+        onLifeEnded: handleIncarnationEnded,
+        isOrdered: (worker) => fleetController.isOrdered(worker),
         evacuatedZones: opts.evacuatedZones,
-        follow: looks.follow,
+        follow: polling.follow,
     });
-    const intake = createIntake({
+    const submissionTracker = createIntake({
         board,
         estimates,
         meter,
         report,
         steadyMs: clocks.steadyMs,
-        stop: runs.stop,
-        findWorker: (id, bornMs) => workerIntake.findRecorded(id, bornMs),
-        save: (entry) => void writer.save(entry),
+        stop: runControl.stop,
+        findWorker: (id, bornMs) => workerTracker.findRecorded(id, bornMs),
+        save: (entry) => void progressWriter.save(entry),
     });
     const planner = createPlanner({
         board,
@@ -228,12 +240,12 @@
         tenure,
         steadyMs: clocks.steadyMs,
         policy: () => opts.isPolicyFresh() ? opts.policy() : undefined,
-        advisor,
-        window,
+        advisor: permitCache,
+        window: startWindow,
         startAll: (entry, group) => void startAll(entry, group),
     });
     const pacer = createPacer({ api: opts.workerApi, tenure, clocks });
-    const watchdog = createWatchdog({ board, clocks, estimates, report, stop: runs.stop });
+    const watchdog = createWatchdog({ board, clocks, estimates, report, stop: runControl.stop });
     const orders = createMachineOrders({
         store,
         machines: opts.machines,
@@ -242,7 +254,7 @@
         report,
         turnMs: opts.bounds.machineTurnMs,
     });
-    const keeper = createFleetKeeper({
+    const fleetController = createFleetKeeper({
         board,
         clocks,
         report,
@@ -259,21 +271,21 @@
         maxStopMs: opts.bounds.maxStopMs,
         ordersPerSecond: opts.bounds.machineOrdersPerSecond,
         reportWave: opts.reportWave,
-        stop: runs.stop,
-        lookNow: looks.lookNow,
-        onLifeEnded,
+        stop: runControl.stop,
+        lookNow: polling.lookNow,
+        onLifeEnded: handleIncarnationEnded,
         onChange: () => planner.planSoon(),
     });
 
     async function startAll(entry: SubmissionEntry, group: readonly Run[]): Promise<void> {
-        if (!await writer.save(entry)) {
+        if (!await progressWriter.save(entry)) {
             return;
         }
         for (const run of group) {
             if (run.worker.runs.has(run)) {
                 entry.hasBegun = true;
-                void runs.start(run);
-                looks.follow(run.worker);
+                void runControl.start(run);
+                polling.follow(run.worker);
             }
         }
     }
@@ -291,68 +303,73 @@
             addDueOccurrences(entry, Date.now(), nowMs);
         }
         for (const worker of board.workers.values()) {
-            looks.follow(worker);
+            polling.follow(worker);
             if (!worker.isListed && worker.runs.size === 0) {
                 removeWorker(board, worker);
             }
         }
         watchdog.tick();
-        forgetFinished();
+        removeExpiredSubmissions();
         planner.planSoon();
     }
 
-    function forgetFinished(): void {
-        const old = intake.takeEndedBefore(Date.now() - opts.bounds.keepFinishedMs, maxForgotten);
-        if (old.length > 0) {
+    function removeExpiredSubmissions(): void {
+        const expiredIds = submissionTracker.takeEndedBefore(
+            Date.now() - opts.bounds.keepFinishedMs,
+            maxRemovedPerCommit,
+        );
+        if (expiredIds.length > 0) {
             void store.commit({
                 conditions: [tenure.condition],
                 puts: [],
-                // A first record that was written late, after its submission had ended, is still there.
-                deletes: old.flatMap((id) => [submissionKey(id), progressKey(id)]),
+                // A submission's first record may have been written late, after the submission had ended. It is removed
+                // here.
+                deletes: expiredIds.flatMap((id) => [submissionKey(id), progressKey(id)]),
             });
         }
     }
 
-    const submissions = createFollower({
+    const submissionWatcher = createFollower({
         store,
         prefix: submissionPrefix,
-        waitMs: watchWaitMs,
-        pauseMs: submissionGatherMs,
+        waitMs: watchTimeoutMs,
+        pauseMs: submissionBatchMs,
         nowMs: clocks.suspendAwareMs,
-        onItem: intake.take,
+        onItem: submissionTracker.take,
         onBatch() {
-            startWorkers();
+            startWorkerWatcher();
             planner.planSoon();
         },
         isItemKept: false,
     });
-    const workers = createFollower({
+    const workerWatcher = createFollower({
         store,
         prefix: opts.decoder.prefix,
-        waitMs: watchWaitMs,
-        pauseMs: workerGatherMs,
+        waitMs: watchTimeoutMs,
+        pauseMs: workerBatchMs,
         nowMs: clocks.suspendAwareMs,
-        onItem: workerIntake.take,
+        onItem: workerTracker.take,
         onBatch: () => planner.planSoon(),
     });
 
     /**
-     * Workers are asked only when all submissions are on the board. An end that a worker lists for a submission not yet
-     * read would be taken for one of no interest and acknowledged; the task would then run a second time.
+     * Starts the worker watcher, and with it the polling of workers, only after all submissions have been read. If a
+     * worker listed an end of a submission that has not been read, the end would be treated as unknown and
+     * acknowledged. The task would then run a second time.
      */
-    function startWorkers(): void {
+    function startWorkerWatcher(): void {
         if (!isLoaded) {
             isLoaded = true;
-            workers.start();
+            workerWatcher.start();
         }
     }
 
-    /** Reads what earlier owners recorded; from now on nobody else can write it. */
-    async function load(): Promise<boolean> {
+    /** Reads the progress that earlier leaders recorded. From now on no other leader can write it. */
+    async function loadState(): Promise<boolean> {
         while (!isStopped && tenure.isValid()) {
             const result = await store.range(progressPrefix);
             if (result.kind === "items" && await orders.load()) {
-                intake.restoreFrom(
+                submissionTracker.restoreFrom(
                     new Map(result.items.map(({ key, text, revision }) => [
                         key,
                         { tasks: decodeProgress(text) ?? [], revision },
@@ -367,25 +384,25 @@
 
     return {
         async start() {
-            if (!await load() || isStopped) {
+            if (!await loadState() || isStopped) {
                 return;
             }
-            submissions.start();
-            keeper.start();
-            timer = setInterval(tick, tickMs);
+            submissionWatcher.start();
+            fleetController.start();
+            timer = setInterval(tick, tickIntervalMs);
         },
         stop() {
             isStopped = true;
             planner.stop();
             clearInterval(timer);
-            looks.stop();
-            workers.stop();
-            submissions.stop();
-            keeper.stop();
+            polling.stop();
+            workerWatcher.stop();
+            submissionWatcher.stop();
+            fleetController.stop();
         },
-        // Asked before all submissions are read, a queue with a backlog would be shown as empty.
-        findState: (id) => isLoaded ? intake.findState(id) : undefined,
-        countPending: (route) => isLoaded ? intake.countPending(route) : undefined,
+        // Before all submissions have been read, a queue with a backlog would be reported as empty.
+        findState: (id) => isLoaded ? submissionTracker.findState(id) : undefined,
+        countPending: (route) => isLoaded ? submissionTracker.countPending(route) : undefined,
         policyChanged() {
             markEvacuated();
             planner.planSoon();
@@ -393,5 +410,8 @@
     };
 }
 
-/** Finished submissions removed from the store in one call, each with its progress; one entry is the condition. */
-const maxForgotten = Math.floor((maxCommitEntries - 1) / 2);
+/**
+ * Finished submissions removed per commit. Each takes two operations, its record and its progress. One is the
+ * condition.
+ */
+const maxRemovedPerCommit = Math.floor((maxCommitEntries - 1) / 2);
--- a/src/scheduler/createWatchdog.ts
+++ b/src/scheduler/createWatchdog.ts
@@ -11,41 +11,47 @@
 }
 
 export interface Watchdog {
-    /** Looks at what a worker has just listed. */
+    /** Checks a worker's runs for stalls after it has reported its run list. */
     check(worker: Worker): void;
-    /** Looks at what depends on time alone. */
+    /** Checks draining workers. Called periodically. */
     tick(): void;
 }
 
-/** A task whose progress does not move for this long stands still, in milliseconds; looks come each second or sooner. */
+/**
+ * A task whose progress does not change for this long is stalled, in milliseconds. Workers are polled every second or
+ * sooner.
+ */
 const stallMs = 2500;
 
-/** A worker on which a task stood still gets no new work for this long, in milliseconds. */
+/** A worker with a stalled task gets no new work for this long, in milliseconds. */
 const quarantineMs = 4000;
 
-/** Notices tasks that stand still, and gets work off workers that leave. */
+/** Stops stalled tasks, and tasks on draining workers that would not finish there. */
 export function createWatchdog(opts: WatchdogOptions): Watchdog {
     const { board, clocks } = opts;
 
     function isStalled(run: Run, nowMs: number): boolean {
-        const isAtWork = run.phase === "running" && run.seenAtMs !== undefined;
+        const isObservedRunning = run.phase === "running" && run.seenAtMs !== undefined;
         const { isLongRunning, isGang, isFiller } = run.task.step;
-        if (!isAtWork || isGang || isFiller || (isLongRunning && run.percent === 100)) {
+        if (!isObservedRunning || isGang || isFiller || (isLongRunning && run.percent === 100)) {
             return false;
         }
         return nowMs - run.progressAtMs > stallMs && nowMs - run.plannedAtMs > stallMs;
     }
 
-    /** A worker that leaves ends everything on it; what would not be done by then starts again elsewhere at once. */
-    function leave(worker: Worker): void {
+    /**
+     * A draining worker ends all its runs when it leaves. Those that would not finish before are stopped and restarted
+     * elsewhere at once.
+     */
+    function stopUnfinishable(worker: Worker): void {
         for (const run of worker.runs) {
             if (run.phase !== "running") {
                 continue;
             }
             const { step } = run.task;
-            const leftMs = opts.estimates.expectMs(run.task) * (1 - run.percent / 100);
-            if (step.isLongRunning || (step.hasCheckpoints && leftMs > worker.drainLeftMs)) {
-                opts.stop(run, "its worker is leaving");
+            const remainingMs = opts.estimates.expectMs(run.task) * (1 - run.percent / 100);
+            if (step.isLongRunning || (step.hasCheckpoints && remainingMs > worker.drainLeftMs)) {
+                opts.stop(run, "its worker is draining");
             }
         }
     }
@@ -61,17 +67,17 @@
                         change: "ejected",
                         instance: worker.id,
                         pool: worker.pool,
-                        reason: `task ${run.task.name} stands still at ${run.percent}%`,
+                        reason: `task ${run.task.name} stalled at ${run.percent}%`,
                         forMs: quarantineMs,
                     });
-                    opts.stop(run, "it stands still");
+                    opts.stop(run, "it has stalled");
                 }
             }
         },
         tick() {
             for (const worker of board.workers.values()) {
                 if (worker.isDraining && worker.isListed) {
-                    leave(worker);
+                    stopUnfinishable(worker);
                 }
             }
         },
--- a/src/scheduler/createWaves.ts
+++ b/src/scheduler/createWaves.ts
@@ -14,50 +14,56 @@
     readonly waves: () => readonly Wave[];
     readonly standby: () => string | undefined;
     readonly evacuatedZones: () => ReadonlySet<string>;
-    /** How long an upkeep takes, in milliseconds. */
+    /** How long the maintenance of a machine takes, in milliseconds. */
     readonly maintenanceMs: number;
-    /** Longest time that a stop takes on a worker, in milliseconds. */
+    /** Longest time that a worker takes to stop a task, in milliseconds. */
     readonly maxStopMs: number;
+    /** Writes the state of a wave for the operators. Resolves to `false` if it is not in the store. */
     readonly reportWave: (wave: number, isComplete: boolean) => Promise<boolean>;
     stop(run: Run, reason: string): void;
 }
 
-/** What a round of decisions has to know of the waves that are not complete. */
+/** A maintenance wave that is not complete. */
 export interface OpenWave {
     readonly wave: Wave;
-    /** There is time enough to leave machines to a pool that is short of them. */
+    /** Whether there is enough time to leave machines in a pool that is short of capacity. */
     readonly mayWait: boolean;
 }
 
 export interface Waves {
+    /** Lists the waves that have not been reported as complete. */
     listOpen(): readonly OpenWave[];
     /**
-     * Empties machines and gives the upkeeps to be ordered now.
+     * Empties machines of a wave and returns the maintenance orders to send now.
      *
      * @param isNeeded whether work waits for a machine, or its pool can't do without it
      */
     decide(open: OpenWave, isNeeded: (machine: Machine) => boolean): readonly MachineOrder[];
-    /** Machines that are being emptied for a wave. */
+    /** Whether a machine is being emptied for a wave. */
     isEmptying(id: string): boolean;
 }
 
-/** How long a machine may wait to be empty before its upkeep begins all the same, in milliseconds. */
+/**
+ * How long a machine may take to become empty, in milliseconds. After that its tasks are stopped even if no other worker
+ * can take them.
+ */
 const maxEmptyingMs = 2500;
 
-/** A machine missing from the platform's list for this long counts as removed, in milliseconds. */
+/** A machine that is missing from the platform's list for this long counts as removed, in milliseconds. */
 const removedAfterMs = 5000;
 
-/** Takes waves of upkeep through the fleet. */
+/** Carries out maintenance waves: empties their machines, orders the maintenance and reports complete waves. */
 export function createWaves(opts: WavesOptions): Waves {
     const { board, clocks, view, orders } = opts;
     const { machines } = view;
-    const absentSince = new Map<string, number>();
-    const emptyingSince = new Map<string, number>();
-    const reported = new Map<number, boolean>();
+    const missingSinceMs = new Map<string, number>();
+    const emptyingSinceMs = new Map<string, number>();
+    const reportedStates = new Map<number, boolean>();
 
     /**
-     * A worker that has not been asked yet, as right after a change of owners, may run anything; taking its machine down
-     * for empty would end tasks whose steps bear no more of them away.
+     * Returns the number of runs on a machine, or `undefined` if it is not known. A worker that has not been polled
+     * yet, such as after a change of leader, may run anything. Treating its machine as empty and taking it down would
+     * end tasks whose steps allow no more unavailable tasks.
      */
     function countRuns(machine: Machine): number | undefined {
         if (machine.pool === opts.standby()) {
@@ -76,29 +82,31 @@
         return machine !== undefined && (countRuns(machine) ?? 0) > 0;
     }
 
-    /** Takes work off a machine that is to go down, as far as the availability of each step allows. */
-    function empty(id: string): void {
+    /** Stops tasks on a machine that is due for maintenance, as far as `maxUnavailable` of each step allows. */
+    function emptyMachine(id: string): void {
         const worker = view.workerOf(machines.get(id));
         if (worker === undefined) {
             return;
         }
         worker.isReserved = true;
         const nowMs = clocks.steadyMs();
-        const sinceMs = emptyingSince.get(id) ?? nowMs;
-        emptyingSince.set(id, sinceMs);
+        const sinceMs = emptyingSinceMs.get(id) ?? nowMs;
+        emptyingSinceMs.set(id, sinceMs);
         const isUrgent = nowMs - sinceMs > maxEmptyingMs;
         for (const run of chooseEvacuations(worker, { board, isUrgent, nowMs, maxStopMs: opts.maxStopMs })) {
             opts.stop(run, "its machine is due for maintenance");
         }
     }
 
-    /** Gives machines back to their pools that were being emptied and are not to go down next any more. */
-    function release(wave: Wave, prepared: readonly string[]): void {
+    /**
+     * Gives machines back to their pools if they were being emptied and are no longer among the next to be maintained.
+     */
+    function releaseMachines(wave: Wave, prepared: readonly string[]): void {
         for (const id of wave.machines) {
-            if (!emptyingSince.has(id) || prepared.includes(id) || !view.isFree(id)) {
+            if (!emptyingSinceMs.has(id) || prepared.includes(id) || !view.isFree(id)) {
                 continue;
             }
-            emptyingSince.delete(id);
+            emptyingSinceMs.delete(id);
             const worker = view.workerOf(machines.get(id));
             if (worker !== undefined) {
                 worker.isReserved = false;
@@ -106,30 +114,38 @@
         }
     }
 
-    /** A machine that changes its pool may be missing from a list for a moment; one that was taken away stays missing. */
+    /**
+     * Finds removed machines. A machine that changes its pool may be missing from a list briefly. A removed one stays
+     * missing.
+     */
     function findRemoved(wave: Wave): ReadonlySet<string> {
         const nowMs = clocks.steadyMs();
-        const removed = new Set<string>();
+        const removedIds = new Set<string>();
         for (const id of wave.machines) {
             if (machines.has(id)) {
-                absentSince.delete(id);
+                missingSinceMs.delete(id);
                 continue;
             }
-            const sinceMs = absentSince.get(id) ?? nowMs;
-            absentSince.set(id, sinceMs);
+            const sinceMs = missingSinceMs.get(id) ?? nowMs;
+            missingSinceMs.set(id, sinceMs);
             if (nowMs - sinceMs > removedAfterMs) {
-                removed.add(id);
+                removedIds.add(id);
             }
         }
-        return removed;
+        return removedIds;
     }
 
+    /** Workers on the wave's machines whose maintenance has not begun. */
     function workersDue({ wave, machines: ids }: Wave): readonly Worker[] {
         const begun = orders.begun(wave);
         return ids.filter((id) => !begun.has(id)).flatMap((id) => view.workerOf(machines.get(id)) ?? []);
     }
 
-    /** Whether the wave will be in time though it leaves alone a machine that takes this long to empty, or any machine. */
+    /**
+     * Whether the wave meets its deadline although it defers a machine.
+     *
+     * @param longestEmptyingMs time that it takes to empty the deferred machine, in milliseconds; 0 for any machine
+     */
     function mayWait(wave: Wave, longestEmptyingMs = 0): boolean {
         return hasSlack({
             wave,
@@ -140,40 +156,41 @@
         });
     }
 
-    /** Machines of the wave that take so long to empty that it has to be begun now. */
-    function findSlow(wave: Wave): ReadonlySet<string> {
+    /** Machines of the wave that take so long to empty that the emptying has to begin now. */
+    function findSlowToEmpty(wave: Wave): ReadonlySet<string> {
         const counts = countStaying(workersDue(wave));
-        const slow = wave.machines.filter((id) => {
+        const slowToEmpty = wave.machines.filter((id) => {
             const worker = view.workerOf(machines.get(id));
             const neededMs = worker === undefined ? 0 : emptyingMs(worker, counts, opts.maxStopMs);
             return neededMs > 0 && !mayWait(wave, neededMs);
         });
-        return new Set(slow);
+        return new Set(slowToEmpty);
     }
 
-    async function note(wave: Wave, isComplete: boolean): Promise<void> {
-        if (reported.get(wave.wave) === isComplete || reported.get(wave.wave) === true) {
+    /** Reports a changed completion state once. A complete wave stays complete. */
+    async function reportCompletion(wave: Wave, isComplete: boolean): Promise<void> {
+        if (reportedStates.get(wave.wave) === isComplete || reportedStates.get(wave.wave) === true) {
             return;
         }
-        reported.set(wave.wave, isComplete);
+        reportedStates.set(wave.wave, isComplete);
         if (!await opts.reportWave(wave.wave, isComplete)) {
-            reported.delete(wave.wave);
+            reportedStates.delete(wave.wave);
         }
     }
 
     return {
         listOpen: () =>
-            opts.waves().filter(({ wave }) => reported.get(wave) !== true).map((wave) => ({
+            opts.waves().filter(({ wave }) => reportedStates.get(wave) !== true).map((wave) => ({
                 wave,
                 mayWait: mayWait(wave),
             })),
-        isEmptying: (id) => emptyingSince.has(id),
+        isEmptying: (id) => emptyingSinceMs.has(id),
         decide(open, isNeeded) {
             const { wave } = open;
-            const slow = findSlow(wave);
+            const slowToEmpty = findSlowToEmpty(wave);
             const onUpkeep = view.onUpkeep(wave.wave);
             const down = new Set(onUpkeep.map(({ machine }) => machine));
-            // What an earlier owner has just ordered may not show in the list yet.
+            // The list may not show yet what an earlier leader has just ordered.
             wave.machines
                 .filter((id) => machines.get(id)?.state === "maintenance" || orders.isBlocked(id))
                 .forEach((id) => down.add(id));
@@ -185,20 +202,25 @@
                 removed: findRemoved(wave),
                 down,
                 runsOn: countRuns,
-                isNeeded: (machine) => isNeeded(machine) && !slow.has(machine.id) && !isEvacuated(machine),
+                isNeeded: (machine) => isNeeded(machine) && !slowToEmpty.has(machine.id) && !isEvacuated(machine),
                 mayWait: open.mayWait,
-                isEmptying: (id) => emptyingSince.has(id),
+                isEmptying: (id) => emptyingSinceMs.has(id),
                 isUnused: isEvacuated,
             });
-            void note(wave, choice.isComplete && view.isKnown());
-            wave.machines.filter((id) => begun.has(id)).forEach((id) => emptyingSince.delete(id));
-            const unanswered = onUpkeep.filter(({ isUnanswered }) => isUnanswered);
-            // The order may have been lost, and the machine's next worker has taken work before it is sent again.
-            const occupied = unanswered.filter((upkeep) => !upkeep.isSeen && isOccupied(upkeep.machine));
-            [...choice.prepare.filter(view.isFree), ...occupied.map(({ machine }) => machine)].forEach(empty);
-            release(wave, choice.prepare);
-            const again = unanswered.filter((upkeep) => !occupied.includes(upkeep)).map(({ machine }) => machine);
-            return [...choice.now.filter(view.isFree), ...again].map((machine) => ({
+            void reportCompletion(wave, choice.isComplete && view.isKnown());
+            wave.machines.filter((id) => begun.has(id)).forEach((id) => emptyingSinceMs.delete(id));
+            const unansweredOrders = onUpkeep.filter(({ isUnanswered }) => isUnanswered);
+            // The order may have been lost, and the machine's next worker may have taken work before the order is sent
+            // again.
+            const occupiedMachines = unansweredOrders.filter((order) => !order.isSeen && isOccupied(order.machine));
+            [...choice.prepare.filter(view.isFree), ...occupiedMachines.map(({ machine }) => machine)].forEach(
+                emptyMachine,
+            );
+            releaseMachines(wave, choice.prepare);
+            const resendIds = unansweredOrders.filter((order) => !occupiedMachines.includes(order)).map(({ machine }) =>
+                machine
+            );
+            return [...choice.now.filter(view.isFree), ...resendIds].map((machine) => ({
                 kind: "maintain",
                 machine,
                 wave: wave.wave,
--- a/src/scheduler/createWorkerIntake.ts
+++ b/src/scheduler/createWorkerIntake.ts
@@ -9,77 +9,91 @@
     readonly report: Reporter;
     readonly steadyMs: () => number;
     onLifeEnded(worker: Worker, reason: string): void;
-    /** Whether an order to the worker's machine is under way. */
+    /** Whether a machine order is pending for the worker's machine. */
     isOrdered(worker: Worker): boolean;
     readonly evacuatedZones: () => ReadonlySet<string>;
+    /** Starts polling a worker if that is needed. */
     follow(worker: Worker): void;
 }
 
-/** The workers of a tenure: what records, entries and lists tell of their lives. */
+/** Tracks the incarnations of workers during a tenure, from progress records, registrations and run lists. */
 export interface WorkerIntake {
-    /** The worker of a run that an earlier owner recorded; nothing else may be known of it yet. */
+    /** Finds or adds the worker of a run that an earlier leader recorded. Its registration may not have been read yet. */
     findRecorded(id: string, bornMs: number): Worker;
-    /** A worker's entry in the store is new or has changed; `undefined`: it was removed. */
+    /** Handles a new or changed worker registration from the store. `item` is `undefined` if it was removed. */
     take(key: string, item: StoreItem | undefined): void;
-    /** Another life of a worker has answered where this one was asked. */
+    /** Handles that another incarnation answered a request to this worker. */
     noteOtherLife(worker: Worker, bornMs: number): void;
 }
 
+/** Creates a tracker for the workers of one tenure. */
 export function createWorkerIntake(opts: WorkerIntakeOptions): WorkerIntake {
     const { board, decoder, steadyMs } = opts;
 
-    const endLife = (reason: string) => (earlier: Worker) => opts.onLifeEnded(earlier, reason);
+    const endIncarnation = (reason: string) => (previous: Worker) => opts.onLifeEnded(previous, reason);
 
     return {
         findRecorded(id, bornMs) {
             const nowMs = steadyMs();
-            const worker = takeLife(board, id, bornMs, nowMs, endLife("runs of a later life are recorded"));
+            const worker = takeLife(
+                board,
+                id,
+                bornMs,
+                nowMs,
+                endIncarnation("runs of a later incarnation are recorded"),
+            );
             if (worker.bornMs !== bornMs) {
                 worker.inheritedAtMs = nowMs;
             }
             if (worker.address === "") {
-                // No entry has told where it is.
+                // Its registration, which holds its address, has not been read.
                 worker.isReachable = false;
             }
             return worker;
         },
         take(key, item) {
             const id = decoder.idOf(key);
-            const entry = item === undefined ? undefined : decoder.decode(key, item.text);
-            if (entry === undefined) {
+            const registration = item === undefined ? undefined : decoder.decode(key, item.text);
+            if (registration === undefined) {
                 const known = board.workers.get(id);
                 if (known !== undefined) {
                     known.isListed = false;
                 }
                 if (item !== undefined) {
-                    opts.report({ kind: "valueRefused", key, detail: "the entry names no worker" });
+                    opts.report({ kind: "valueRefused", key, detail: "the registration describes no usable worker" });
                 }
                 return;
             }
-            const worker = takeLife(board, id, entry.bornMs, steadyMs(), endLife("its entry tells of a new start"));
-            if (worker.bornMs === entry.bornMs) {
-                applyEntry(worker, entry);
+            const worker = takeLife(
+                board,
+                id,
+                registration.bornMs,
+                steadyMs(),
+                endIncarnation("its registration reports a restart"),
+            );
+            if (worker.bornMs === registration.bornMs) {
+                applyRegistration(worker, registration);
             }
             worker.isEvacuated = opts.evacuatedZones().has(worker.zone);
-            // An entry that was gone for a moment comes back as a worker of which nothing is known.
+            // After a short absence of its registration the worker is a new object, without the reservation.
             worker.isReserved ||= opts.isOrdered(worker);
             opts.follow(worker);
         },
         noteOtherLife(worker, bornMs) {
-            const reason = "it has started again under the same id";
-            opts.follow(replaceLife(board, worker, bornMs, steadyMs(), endLife(reason)));
+            const reason = "the worker restarted under the same id";
+            opts.follow(replaceLife(board, worker, bornMs, steadyMs(), endIncarnation(reason)));
         },
     };
 }
 
-function applyEntry(worker: Worker, entry: WorkerEntry): void {
-    worker.address = entry.address;
-    worker.pool = entry.pool;
-    worker.zone = entry.zone;
-    worker.rack = entry.rack;
-    worker.labels = entry.labels;
-    worker.capacity = entry.capacity;
-    worker.isDraining = entry.isDraining;
-    worker.drainLeftMs = entry.drainLeftMs;
+function applyRegistration(worker: Worker, registration: WorkerEntry): void {
+    worker.address = registration.address;
+    worker.pool = registration.pool;
+    worker.zone = registration.zone;
+    worker.rack = registration.rack;
+    worker.labels = registration.labels;
+    worker.capacity = registration.capacity;
+    worker.isDraining = registration.isDraining;
+    worker.drainLeftMs = registration.drainLeftMs;
     worker.isListed = true;
 }
--- a/src/scheduler/emptyingMs.ts
+++ b/src/scheduler/emptyingMs.ts
@@ -1,10 +1,10 @@
 import type { Worker } from "../schedule";
 import type { Step } from "../submissions";
 
-/** A task that was stopped is at work elsewhere this long after its stop, in milliseconds: its start and its startup. */
-const backAtWorkMs = 1000;
+/** Time from the stop of a task until it works on another worker, in milliseconds: its start request and its startup. */
+const restartMs = 1000;
 
-/** How many tasks of each step that lasts the given workers run. */
+/** Counts the tasks of each long-running step on the given workers. */
 export function countStaying(workers: readonly Worker[]): ReadonlyMap<Step, number> {
     const counts = new Map<Step, number>();
     for (const { runs } of workers) {
@@ -18,22 +18,23 @@
 }
 
 /**
- * How long it takes at least to empty a worker that is due for an upkeep, in milliseconds.
+ * Returns the minimum time that it takes to empty a worker that is due for maintenance, in milliseconds.
  *
- * A step that serves users bears only so many of its tasks away at once, on all machines together. A worker that holds six
- * of a step that bears one is empty after six turns of stopping and starting again, some twelve seconds; where three workers
- * hold twenty-four of a step that bears three, each waits for its turn. Begun as late as others, their upkeeps came after
- * the wave was due: 1 to 7 of some hundred machines.
+ * `maxUnavailable` limits how many tasks of a step that serves users may be unavailable at once, over all machines. A
+ * worker with six tasks of a step that allows one is empty after six rounds of stop and restart, some twelve seconds.
+ * If three workers hold 24 tasks of a step that allows three, each worker waits for its turn. Without this estimate
+ * such workers began as late as others, and the maintenance of 1 to 7 of some hundred machines came after the wave's
+ * deadline.
  *
- * @param counts tasks of each step on all workers that are due, this one among them
+ * @param counts number of tasks of each step on all workers that are due, including this one
  * @param maxStopMs longest time that a stop takes, in milliseconds
  */
 export function emptyingMs(worker: Worker, counts: ReadonlyMap<Step, number>, maxStopMs: number): number {
-    let turns = 0;
+    let rounds = 0;
     for (const { task: { step } } of worker.runs) {
         if (step.isLongRunning && step.maxUnavailable > 0) {
-            turns = Math.max(turns, Math.ceil((counts.get(step) ?? 1) / step.maxUnavailable));
+            rounds = Math.max(rounds, Math.ceil((counts.get(step) ?? 1) / step.maxUnavailable));
         }
     }
-    return turns * (maxStopMs + backAtWorkMs);
+    return rounds * (maxStopMs + restartMs);
 }
--- a/src/scheduler/findUnplaceable.ts
+++ b/src/scheduler/findUnplaceable.ts
@@ -1,23 +1,24 @@
 import { isStepReady, placeTask, type SubmissionEntry, type Worker } from "../schedule";
 
-/** A task that has waited this long is looked at more closely, in milliseconds; most are placed within a round or two. */
-const waitedMs = 300;
+/** Minimum wait before a task is checked for a place, in milliseconds. Most tasks are placed within one or two rounds. */
+const minWaitMs = 300;
 
 /**
- * Processors of ready tasks for which no worker of the pool has a place, however much is free in all, in thousandths.
+ * Returns the cores of ready tasks that no worker of the pool can take, whatever the total free capacity, in thousandths.
  *
- * A step that bears one task on each worker needs as many workers as it has tasks, and a large task needs its room on
- * one machine. Counted by processors alone the pool looks half empty, no machine is sent, and the task waits for good.
+ * A step that allows one task per worker needs as many workers as it has tasks, and a large task needs its capacity on
+ * one machine. By the sum of cores alone the pool looks half empty, no machine is moved to it, and the task waits
+ * forever.
  */
 export function unplaceableCpuMillis(entry: SubmissionEntry, workers: readonly Worker[], nowMs: number): number {
     let cpuMillis = 0;
     for (const occurrence of entry.occurrences) {
         occurrence.tasks.forEach((step, number) => {
             const waiting = step.filter((task) =>
-                task.phase === "waiting" && task.runs.length === 0 && nowMs - task.waitingSinceMs > waitedMs
+                task.phase === "waiting" && task.runs.length === 0 && nowMs - task.waitingSinceMs > minWaitMs
             );
             const first = waiting[0];
-            if (first !== undefined && isStepReady(occurrence, number) && !hasPlace(first, workers, nowMs)) {
+            if (first !== undefined && isStepReady(occurrence, number) && !isPlaceable(first, workers, nowMs)) {
                 cpuMillis += waiting.length * first.step.size.cpuMillis;
             }
         });
@@ -25,20 +26,20 @@
     return cpuMillis;
 }
 
-function hasPlace(task: Parameters<typeof placeTask>[0], workers: readonly Worker[], nowMs: number): boolean {
+function isPlaceable(task: Parameters<typeof placeTask>[0], workers: readonly Worker[], nowMs: number): boolean {
     return placeTask(task, { workers, nowMs }) !== undefined;
 }
 
 /**
- * Processors of tasks that last on workers that are being emptied, for which no other worker of the pool has a place, in
- * thousandths. A step that bears one task on each worker fills a pool that looks half empty; stopped before its next
- * machine is there, each task was away for three seconds, and a wave took five for each of them.
+ * Returns the cores of long-running tasks on workers that are being emptied, which no other worker of the pool can take,
+ * in thousandths. A step that allows one task per worker fills a pool that looks half empty. When such tasks were stopped
+ * before their next machine had joined, each was unavailable for three seconds, and a wave took five seconds for each.
  */
 export function unplaceableStayingCpuMillis(workers: readonly Worker[], nowMs: number): number {
     let cpuMillis = 0;
     for (const { isListed, isReserved, runs } of workers) {
         for (const { phase, task } of isListed && isReserved ? runs : []) {
-            if (phase === "running" && task.step.isLongRunning && !hasPlace(task, workers, nowMs)) {
+            if (phase === "running" && task.step.isLongRunning && !isPlaceable(task, workers, nowMs)) {
                 cpuMillis += task.step.size.cpuMillis;
             }
         }
--- a/src/scheduler/index.ts
+++ b/src/scheduler/index.ts
@@ -1,4 +1,4 @@
-/** What the owner of the scheduling duty does during one tenure. */
+/** The work of the scheduling leader during one tenure. */
 export { createConsolidator } from "./createConsolidator";
 export { createScheduler, type Scheduler, type SchedulerBounds } from "./createScheduler";
 export { measureDemand } from "./measureDemand";
--- a/src/scheduler/measureDemand.ts
+++ b/src/scheduler/measureDemand.ts
@@ -22,34 +22,39 @@
     readonly estimates: Estimates;
     readonly meter: DemandMeter;
     readonly nowMs: number;
-    /** Processors of machines on their way to a pool, in thousandths. */
+    /** Cores of the machines that are moving to a pool, in thousandths. */
     readonly comingCpuMillis: (pool: string) => number;
     readonly timeOfDayMs: number;
-    /** Time from a decision until the machine takes work, in milliseconds. */
+    /** Time from the decision to move a machine until it takes work, in milliseconds. */
     readonly joinMs: number;
 }
 
-/** Submissions of a pool that are looked at for tasks without a place; each look goes over all its workers. */
-const maxLookedAt = 20;
+/**
+ * Maximum number of a pool's submissions that are checked for unplaceable tasks. Each check goes over all its workers.
+ */
+const maxCheckedSubmissions = 20;
 
 /**
- * Submissions whose first tasks find room in a pool that has little to do. A turn of short submissions begins with several
- * within a tenth of a second, and they are late when they wait for a machine to join.
+ * Number of submissions for whose first tasks a pool with low load keeps capacity. A burst of short submissions begins
+ * with several of them within a tenth of a second, and they are late if they wait for a machine to join.
  */
 const reservedSubmissions = 3;
 
-/** What the open submissions of a pool ask for; processors in thousandths. */
+/** Demand of a pool's open submissions. Cores in thousandths. */
 interface OpenWork {
-    /** What those should have that end by themselves. */
+    /** Cores that submissions without long-running steps should get. */
     cpuMillis: number;
+    /** Remaining work of submissions without long-running steps, in core-milliseconds. */
     coreMs: number;
-    /** What ready tasks wait for, and of them those that last. */
+    /** Cores that ready tasks wait for. */
     waitingCpuMillis: number;
-    waitingToStayCpuMillis: number;
-    readonly waiting: SubmissionEntry[];
+    /** The part of `waitingCpuMillis` that belongs to submissions with long-running steps. */
+    waitingLongRunningCpuMillis: number;
+    /** Submissions with waiting tasks. */
+    readonly waitingSubmissions: SubmissionEntry[];
 }
 
-/** What each pool needs and has. */
+/** Measures the demand and the capacity of each pool. */
 export function measureDemand(opts: DemandOptions): readonly PoolDemand[] {
     const pools = groupByPool(opts.board);
     const open = sumOpenWork(opts);
@@ -66,30 +71,32 @@
     opts: DemandOptions,
 ): PoolDemand {
     const { meter, nowMs, joinMs } = opts;
-    const room = sumRoom(workers.filter(isOpen));
-    const roomCpuMillis = room.cpuMillis - room.longRunningCpuMillis;
+    const usage = sumRoom(workers.filter(isOpen));
+    const availableCpuMillis = usage.cpuMillis - usage.longRunningCpuMillis;
     const comingCpuMillis = opts.comingCpuMillis(pool);
-    const passingCpuMillis = forecastNeedCpuMillis({
+    const shortTaskCpuMillis = forecastNeedCpuMillis({
         openCpuMillis: open.cpuMillis,
         openCoreMs: open.coreMs,
         arrivingCpuMillis: meter.arrivingCpuMillis(pool, nowMs),
-        roomCpuMillis,
+        roomCpuMillis: availableCpuMillis,
         comingCpuMillis,
         joinMs,
     });
-    const neededCpuMillis = passingCpuMillis + open.waitingToStayCpuMillis + toBeReplacedCpuMillis(workers);
-    // Where so much is missing, a machine is sent in any case. A pool without a worker that takes work tells nothing of the
-    // size of machines: taken for short, a small task waited for eleven seconds and no machine came.
-    const isShort = room.workers > 0 && neededCpuMillis - roomCpuMillis >= leastMissingShare * room.largestCpuMillis;
-    const looked = isShort ? [] : open.waiting.slice(0, maxLookedAt);
-    const unplaceable = looked.reduce((sum, entry) => sum + unplaceableCpuMillis(entry, workers, nowMs), 0);
+    const neededCpuMillis = shortTaskCpuMillis + open.waitingLongRunningCpuMillis + replacementCpuMillis(workers);
+    // With a shortage this large, a machine is moved to the pool in any case. If no worker of the pool takes work, the
+    // size of its machines is unknown. When such a pool counted as short, a small task waited eleven seconds and no
+    // machine came.
+    const isShort = usage.workers > 0
+        && neededCpuMillis - availableCpuMillis >= leastMissingShare * usage.largestCpuMillis;
+    const checkedSubmissions = isShort ? [] : open.waitingSubmissions.slice(0, maxCheckedSubmissions);
+    const unplaceable = checkedSubmissions.reduce((sum, entry) => sum + unplaceableCpuMillis(entry, workers, nowMs), 0);
     return {
         pool,
         isStandby,
         waitingCpuMillis: open.waitingCpuMillis,
         unplaceableCpuMillis: unplaceable + unplaceableStayingCpuMillis(workers, nowMs),
         neededCpuMillis,
-        roomCpuMillis,
+        roomCpuMillis: availableCpuMillis,
         comingCpuMillis,
         reserveCpuMillis: reservedSubmissions * meter.typicalCpuMillis(pool),
         machines: workers.filter(({ isListed, isReserved, isEvacuated }) => isListed && !isReserved && !isEvacuated)
@@ -98,7 +105,7 @@
 }
 
 function createOpenWork(): OpenWork {
-    return { cpuMillis: 0, coreMs: 0, waitingCpuMillis: 0, waitingToStayCpuMillis: 0, waiting: [] };
+    return { cpuMillis: 0, coreMs: 0, waitingCpuMillis: 0, waitingLongRunningCpuMillis: 0, waitingSubmissions: [] };
 }
 
 function sumOpenWork(opts: DemandOptions): ReadonlyMap<string, OpenWork> {
@@ -119,24 +126,26 @@
     const cpuMillis = waitingCpuMillis(entry);
     open.waitingCpuMillis += cpuMillis;
     if (cpuMillis > 0) {
-        open.waiting.push(entry);
+        open.waitingSubmissions.push(entry);
     }
     if (submission.steps.some(({ isLongRunning }) => isLongRunning)) {
-        open.waitingToStayCpuMillis += cpuMillis;
+        open.waitingLongRunningCpuMillis += cpuMillis;
         return;
     }
     const outlook = lookAhead(entry, opts.estimates, opts.nowMs);
-    const targetMs = targetAgeMs(routeOf(opts.policy, submission), outlook);
-    open.cpuMillis += paceOfWorkCpuMillis(outlook, targetMs, opts.timeOfDayMs - submission.acceptedAtMs);
+    const deadlineAgeMs = targetAgeMs(routeOf(opts.policy, submission), outlook);
+    open.cpuMillis += paceOfWorkCpuMillis(outlook, deadlineAgeMs, opts.timeOfDayMs - submission.acceptedAtMs);
     open.coreMs += outlook.workCoreMs;
 }
 
 /**
- * Processors of long-running tasks on workers that leave or are being emptied, in thousandths. They will be started again
- * in their pool; where its only machine is due for an upkeep there is no other one to take them, and without a second
- * machine on its way the upkeep came late or the tasks stayed away for as long as it took.
+ * Returns the cores of long-running tasks on workers that are draining or being emptied, in thousandths. These tasks
+ * will be restarted in their pool. If the pool's only machine is due for maintenance, no other machine can take them.
+ * Without a second machine on its way, the maintenance came late or the tasks were unavailable for its whole duration.
  */
-function toBeReplacedCpuMillis(workers: readonly Worker[]): number {
-    const leaving = workers.filter(({ isListed, isDraining, isReserved }) => isListed && (isDraining || isReserved));
-    return sumRoom(leaving).longRunningCpuMillis;
+function replacementCpuMillis(workers: readonly Worker[]): number {
+    const leavingWorkers = workers.filter(({ isListed, isDraining, isReserved }) =>
+        isListed && (isDraining || isReserved)
+    );
+    return sumRoom(leavingWorkers).longRunningCpuMillis;
 }
--- a/src/scheduler/restoreProgress.ts
+++ b/src/scheduler/restoreProgress.ts
@@ -2,8 +2,8 @@
 import { addOccurrence, addRun, type Board, type SubmissionEntry, type Worker } from "../schedule";
 
 /**
- * Puts what an earlier owner recorded of a submission back on the board. Starts that it recorded may be running; they
- * stay `unconfirmed` until their worker has been asked or its leases have run out.
+ * Restores a submission's progress, as an earlier leader recorded it, into the scheduler state. Recorded starts may be
+ * running. They stay `unconfirmed` until their worker has been polled or its leases have expired.
  */
 export function restoreProgress(
     board: Board,
--- a/src/scheduler/sumRoom.ts
+++ b/src/scheduler/sumRoom.ts
@@ -1,32 +1,34 @@
 import type { Worker } from "../schedule";
 
-/** Processors of a pool's workers and who uses them, in thousandths. */
+/** Cores of a pool's workers and their use, in thousandths of a core. */
 export interface PoolRoom {
     readonly workers: number;
     readonly cpuMillis: number;
     readonly largestCpuMillis: number;
     readonly longRunningCpuMillis: number;
     readonly shortCpuMillis: number;
-    /** Workers that run nothing, and those that run only tasks that last. */
+    /** Number of workers that run nothing. */
     readonly emptyWorkers: number;
+    /** Number of workers that run only long-running tasks. */
     readonly stayingWorkers: number;
 }
 
+/** Sums the capacity and the use of a pool's workers. */
 export function sumRoom(workers: readonly Worker[]): PoolRoom {
     const sum = { cpuMillis: 0, largestCpuMillis: 0, longRunningCpuMillis: 0, shortCpuMillis: 0 };
-    let [emptyWorkers, stayingWorkers] = [0, 0];
+    let [emptyWorkers, longRunningOnlyWorkers] = [0, 0];
     for (const { capacity, runs } of workers) {
         sum.cpuMillis += capacity.cpuMillis;
         sum.largestCpuMillis = Math.max(sum.largestCpuMillis, capacity.cpuMillis);
-        let staying = 0;
+        let longRunningCount = 0;
         for (const { task: { step } } of runs) {
             const used = step.isFiller ? 0 : step.size.cpuMillis;
             sum.longRunningCpuMillis += step.isLongRunning ? used : 0;
             sum.shortCpuMillis += step.isLongRunning ? 0 : used;
-            staying += step.isLongRunning ? 1 : 0;
+            longRunningCount += step.isLongRunning ? 1 : 0;
         }
         emptyWorkers += runs.size === 0 ? 1 : 0;
-        stayingWorkers += runs.size > 0 && staying === runs.size ? 1 : 0;
+        longRunningOnlyWorkers += runs.size > 0 && longRunningCount === runs.size ? 1 : 0;
     }
-    return { ...sum, workers: workers.length, emptyWorkers, stayingWorkers };
+    return { ...sum, workers: workers.length, emptyWorkers, stayingWorkers: longRunningOnlyWorkers };
 }
--- a/src/scheduler/test/demand.steps.ts
+++ b/src/scheduler/test/demand.steps.ts
@@ -49,11 +49,11 @@
     setCap(this, name, cores);
 });
 
-function send(world: World, tenant: string, count: number, tasks: number, cores: number): void {
+function addSubmissions(world: World, tenant: string, count: number, tasks: number, cores: number): void {
     for (let at = 0; at < count; at++) {
         const size = { cpuMillis: cores * 1000, memoryMb: 100, accelerators: 0 };
-        const plain = plainSubmission(`${tenant}-${at}`, [{ count: tasks, size }]);
-        const entry = addSubmission(world.board, { ...plain, tenant, acceptedAtMs: startMs }, 1, false, startMs);
+        const submission = plainSubmission(`${tenant}-${at}`, [{ count: tasks, size }]);
+        const entry = addSubmission(world.board, { ...submission, tenant, acceptedAtMs: startMs }, 1, false, startMs);
         addDueOccurrences(entry, startMs, startMs);
     }
 }
@@ -61,7 +61,7 @@
 When(
     "{string} sends {int} submission(s) of {int} tasks of {int} core(s)",
     function(this: World, tenant: string, count: number, tasks: number, cores: number) {
-        send(this, tenant, count, tasks, cores);
+        addSubmissions(this, tenant, count, tasks, cores);
     },
 );
 
--- a/src/scheduler/test/fleetView.feature
+++ b/src/scheduler/test/fleetView.feature
@@ -1,63 +1,63 @@
-Feature: What an owner concludes from the list of machines
+Feature: Worker and machine state concluded from the machine list
 
-    Scenario: a machine that was ordered shows without its worker
-        Given a machine whose worker runs nothing
+    Scenario: the list shows an ordered machine without its worker
+        Given a machine whose worker has no runs
         When it is ordered and answered
         And the list shows it moving
         Then its worker has ended
 
-    Scenario: a machine shows away whose worker runs something and answers
-        Guards against tasks that run twice: the list is older than the worker.
+    Scenario: the list shows a machine moving, but its worker has runs and answers
+        Guards against tasks that run twice because the list is older than the worker's answer.
 
-        Given a machine whose worker runs something
+        Given a machine whose worker has runs
         When it is ordered and answered
         And the list shows it moving
-        Then its worker is asked
+        Then its worker is polled
         And its worker has not ended
 
-    Scenario: a machine shows away whose worker runs something and is silent
-        Guards against tasks that wait for leases to run out on a worker that is gone.
+    Scenario: the list shows a machine moving, and its worker has runs and does not answer
+        Guards against tasks that wait for the leases on a worker that has ended.
 
-        Given a machine whose worker runs something
+        Given a machine whose worker has runs
         When it is ordered and answered
-        And its worker is silent
+        And its worker does not answer
         And the list shows it moving
         Then its worker has ended
 
-    Scenario: a machine shows away whose next worker has the same id
-        Guards against a new worker that is taken for the one before it.
+    Scenario: the list shows a machine moving, and its next worker has the same id
+        Guards against a new incarnation that is mistaken for the previous one.
 
-        Given a machine whose worker runs nothing
+        Given a machine whose worker has no runs
         When it is ordered and answered
         And its next worker has the same id
         And the list shows it moving
         Then its worker has not ended
 
-    Scenario: a machine that was ordered shows down
-        Guards against tasks that run twice: a worker that the platform cannot see may run on.
+    Scenario: the list shows an ordered machine down
+        Guards against tasks that run twice, because a worker that the platform cannot reach may still run.
 
-        Given a machine whose worker runs something
+        Given a machine whose worker has runs
         When it is ordered and answered
-        And its worker is silent
+        And its worker does not answer
         And the list shows it down
         Then its worker has not ended
 
     Scenario: the worker answers after its machine was ordered
-        Guards against a machine that waits, kept free of work, for an order that had been carried out before.
+        Guards against a machine that stays reserved for an order that had been carried out before.
 
-        Given a machine whose worker runs nothing
+        Given a machine whose worker has no runs
         When it is ordered and answered
         And the list shows it up
         And its worker answers
         Then its worker has not ended
-        And the machine is free
+        And the machine can be ordered
         And its worker takes work
 
     Scenario: the worker answers before its machine's order does
-        Guards against a machine that is taken for spared while the order to it may be carried out yet.
+        Guards against a machine that is released while its order may still be carried out.
 
-        Given a machine whose worker runs something
+        Given a machine whose worker has runs
         When it is ordered
         And the list shows it moving
         And its worker answers
-        Then the machine is not free
+        Then the machine cannot be ordered
--- a/src/scheduler/test/fleetView.steps.ts
+++ b/src/scheduler/test/fleetView.steps.ts
@@ -10,15 +10,15 @@
     board: Board;
     worker: Worker;
     view: FleetView;
-    asked: Worker[];
+    polled: Worker[];
     ended: Worker[];
     answer: (result: MachineOrderResult) => void;
 }
 
 const move: MachineOrder = { kind: "move", machine: "machine-1", pool: "offices" };
 
-/** Time between two readings of the list, in milliseconds. */
-const roundMs = 400;
+/** Time between two reads of the machine list, in milliseconds. */
+const listIntervalMs = 400;
 
 function createView(world: World): FleetView {
     return createFleetView({
@@ -27,8 +27,8 @@
         report() {},
         machines: {
             list: () => Promise.resolve({ kind: "machines", machines: [world.machine] }),
-            move: () => assert.fail("orders go through their record"),
-            maintain: () => assert.fail("orders go through their record"),
+            move: () => assert.fail("the view sends orders only through MachineOrders"),
+            maintain: () => assert.fail("the view sends orders only through MachineOrders"),
         },
         orders: {
             load: () => Promise.resolve(true),
@@ -43,7 +43,7 @@
         maintenanceMs: 2000,
         standby: () => undefined,
         evacuatedZones: () => new Set(),
-        lookNow: (worker) => world.asked.push(worker),
+        lookNow: (worker) => world.polled.push(worker),
         onLifeEnded: (worker) => world.ended.push(worker),
     });
 }
@@ -56,13 +56,13 @@
 }
 
 async function readList(world: World): Promise<void> {
-    world.nowMs += roundMs;
+    world.nowMs += listIntervalMs;
     await world.view.refresh();
 }
 
 Before(async function(this: World) {
     this.nowMs = 10_000;
-    this.asked = [];
+    this.polled = [];
     this.ended = [];
     this.board = createBoard();
     this.machine = {
@@ -79,11 +79,11 @@
     await readList(this);
 });
 
-Given("a machine whose worker runs nothing", function(this: World) {
+Given("a machine whose worker has no runs", function(this: World) {
     assert.equal(this.worker.runs.size, 0);
 });
 
-Given("a machine whose worker runs something", function(this: World) {
+Given("a machine whose worker has runs", function(this: World) {
     this.worker.runs.add({} as Run);
 });
 
@@ -96,7 +96,7 @@
     this.answer({ kind: "done" });
 });
 
-When("its worker is silent", function(this: World) {
+When("its worker does not answer", function(this: World) {
     this.worker.isReachable = false;
 });
 
@@ -115,8 +115,8 @@
     await this.view.refresh();
 });
 
-Then("its worker is asked", function(this: World) {
-    assert.deepEqual(this.asked, [this.worker]);
+Then("its worker is polled", function(this: World) {
+    assert.deepEqual(this.polled, [this.worker]);
 });
 
 Then("its worker has ended", function(this: World) {
@@ -127,11 +127,11 @@
     assert.deepEqual(this.ended, []);
 });
 
-Then("the machine is free", function(this: World) {
+Then("the machine can be ordered", function(this: World) {
     assert.equal(this.view.isFree("machine-1"), true);
 });
 
-Then("the machine is not free", function(this: World) {
+Then("the machine cannot be ordered", function(this: World) {
     assert.equal(this.view.isFree("machine-1"), false);
 });
 
--- a/src/scheduler/workerEntries.ts
+++ b/src/scheduler/workerEntries.ts
@@ -1,6 +1,6 @@
 import type { Resources } from "../resources";
 
-/** What a worker says of itself in the platform's store. */
+/** A worker's registration in the platform's store, written by the worker. */
 export interface WorkerEntry {
     readonly id: string;
     readonly bornMs: number;
@@ -8,17 +8,18 @@
     readonly address: string;
     readonly zone: string;
     readonly isDraining: boolean;
-    /** How much longer a draining worker stays at least, in milliseconds. */
+    /** Minimum time that a draining worker keeps running, in milliseconds. */
     readonly drainLeftMs: number;
     readonly capacity: Resources;
     readonly labels: readonly string[];
     readonly rack: string;
 }
 
-/** Turns what workers write into the product's types; `undefined` where it names no worker to use. */
+/** Decodes worker registrations from the platform's store. */
 export interface WorkerDecoder {
     readonly prefix: string;
+    /** Returns `undefined` if the text describes no usable worker. */
     decode(key: string, text: string): WorkerEntry | undefined;
-    /** The worker's id, also where its entry can't be read. */
+    /** Returns the worker's id, also if its registration can't be decoded. */
     idOf(key: string): string;
 }
