--- a/src/scheduler/createWaves.ts
+++ b/src/scheduler/createWaves.ts
@@ -188,8 +188,8 @@
         decide(open, isNeeded) {
             const { wave } = open;
             const slowToEmpty = findSlowToEmpty(wave);
-            const onUpkeep = view.onUpkeep(wave.wave);
-            const down = new Set(onUpkeep.map(({ machine }) => machine));
+            const maintenance = view.onUpkeep(wave.wave);
+            const down = new Set(maintenance.map(({ machine }) => machine));
             // The list may not show yet what an earlier leader has just ordered.
             wave.machines
                 .filter((id) => machines.get(id)?.state === "maintenance" || orders.isBlocked(id))
@@ -209,7 +209,7 @@
             });
             void reportCompletion(wave, choice.isComplete && view.isKnown());
             wave.machines.filter((id) => begun.has(id)).forEach((id) => emptyingSinceMs.delete(id));
-            const unansweredOrders = onUpkeep.filter(({ isUnanswered }) => isUnanswered);
+            const unansweredOrders = maintenance.filter(({ isUnanswered }) => isUnanswered);
             // The order may have been lost, and the machine's next worker may have taken work before the order is sent
             // again.
             const occupiedMachines = unansweredOrders.filter((order) => !order.isSeen && isOccupied(order.machine));
--- a/src/scheduler/sumRoom.ts
+++ b/src/scheduler/sumRoom.ts
@@ -16,7 +16,7 @@
 /** Sums the capacity and the use of a pool's workers. */
 export function sumRoom(workers: readonly Worker[]): PoolRoom {
     const sum = { cpuMillis: 0, largestCpuMillis: 0, longRunningCpuMillis: 0, shortCpuMillis: 0 };
-    let [emptyWorkers, longRunningOnlyWorkers] = [0, 0];
+    let [emptyWorkers, longRunningOnlyCount] = [0, 0];
     for (const { capacity, runs } of workers) {
         sum.cpuMillis += capacity.cpuMillis;
         sum.largestCpuMillis = Math.max(sum.largestCpuMillis, capacity.cpuMillis);
@@ -28,7 +28,7 @@
             longRunningCount += step.isLongRunning ? 1 : 0;
         }
         emptyWorkers += runs.size === 0 ? 1 : 0;
-        longRunningOnlyWorkers += runs.size > 0 && longRunningCount === runs.size ? 1 : 0;
+        longRunningOnlyCount += runs.size > 0 && longRunningCount === runs.size ? 1 : 0;
     }
-    return { ...sum, workers: workers.length, emptyWorkers, stayingWorkers: longRunningOnlyWorkers };
+    return { ...sum, workers: workers.length, emptyWorkers, stayingWorkers: longRunningOnlyCount };
 }
