--- a/src/progress/createProgressWriter.ts
+++ b/src/progress/createProgressWriter.ts
@@ -10,115 +10,121 @@
     readonly store: Store;
     readonly tenure: Tenure;
     readonly report: Reporter;
-    /** Somebody else has written the duty's key: the right is gone. */
+    /** Another entry daemon has written the leader key: this one is no longer the leader. */
     onFenced(): void;
-    /** The end of the submission is in the store and may be shown. */
+    /** The submission's final state is in the store and may be made visible. */
     onEnded(entry: SubmissionEntry): void;
-    /** The store has it as cancelled. */
+    /** The submission's record in the store is marked as cancelled. */
     onCancelled(entry: SubmissionEntry): void;
 }
 
 export interface ProgressWriter {
-    /** Resolves once the entry as it is now is in the store; gives false where the tenure ended before. */
+    /** Resolves to true once the entry's present state is in the store; to false if the tenure ends first. */
     save(entry: SubmissionEntry): Promise<boolean>;
 }
 
-interface Pending {
+/** A submission with changes that wait for a commit. */
+interface PendingSave {
     readonly entry: SubmissionEntry;
     readonly waiters: ((isSaved: boolean) => void)[];
 }
 
-/** Pause before a write that got no answer is sent again, in milliseconds. */
-const retryMs = 60;
+/** Delay before a failed or unanswered commit is retried, in milliseconds. */
+const retryDelayMs = 60;
 
 /**
- * Shortest time between two commits, in milliseconds. What comes meanwhile goes into one call: a call is paid for, and
- * a start waits 30 ms longer at most.
+ * Minimum interval between two commits, in milliseconds. Changes within it are batched into one call, because each call
+ * is paid for. A start waits at most 30 ms longer for it.
  */
-const gatherMs = 30;
+const batchIntervalMs = 30;
 
-/** Entries of a commit that one submission takes at most: a condition, a put and a delete. */
-const entriesPerSubmission = 3;
-const submissionsPerCommit = Math.floor((maxCommitEntries - 1) / entriesPerSubmission);
+/** Maximum number of operations in a commit for one submission: a condition, a put and a delete. */
+const operationsPerSubmission = 3;
+const submissionsPerCommit = Math.floor((maxCommitEntries - 1) / operationsPerSubmission);
 
 /**
- * Commits under way at once, each for other submissions. With one alone a slow store, which takes 200 ms an answer, lets
- * an owner of a busy fleet record 75 submissions a second, a tenth of what it has to.
+ * Maximum number of concurrent commits, each for different submissions. With a slow store, which takes 200 ms per
+ * answer, one commit at a time would limit the leader of a busy fleet to 75 submissions a second, a tenth of what it
+ * has to record.
  */
-const maxUnderWay = 4;
+const maxConcurrentCommits = 4;
 
 /**
- * Writes what happened to tasks before anything follows from it.
+ * Writes the progress of tasks to the store before the leader acts on it.
  *
- * An owner can die at any moment. Its successor knows only the store and what workers list. So a start is recorded
- * before its order leaves: otherwise the successor would start the task again while it runs on a worker that can't be
- * asked. And an end is recorded before the worker may forget it: otherwise a finished task would run a second time.
- * Each write depends on the duty's key and on the record's own revision, so one that arrives late changes nothing.
+ * A leader can crash at any time. Its successor knows only the store and the workers' run lists. So a start is recorded
+ * before its request is sent; otherwise the successor would start the task again while it runs on a worker that can't
+ * be reached. An end is recorded before it is acknowledged to the worker, which may then forget it; otherwise a
+ * finished task would run a second time. Each commit is conditional on the revisions of the leader key and of the
+ * record that it replaces, so a commit that arrives late changes nothing.
  */
 export function createProgressWriter(opts: ProgressWriterOptions): ProgressWriter {
     const { store, tenure } = opts;
-    const pending = new Map<SubmissionEntry, Pending>();
-    /** Submissions of the commits that are under way; a later change of one waits for its revision. */
-    const underWay = new Set<SubmissionEntry>();
-    let commitsUnderWay = 0;
-    let committedAtMs = Number.NEGATIVE_INFINITY;
+    const pending = new Map<SubmissionEntry, PendingSave>();
+    /** Submissions in unfinished commits. A later change of one waits, because it needs the revision of that commit. */
+    const committing = new Set<SubmissionEntry>();
+    let activeCommits = 0;
+    let lastCommitAtMs = Number.NEGATIVE_INFINITY;
     let timer: NodeJS.Timeout | undefined;
 
-    function schedule(): void {
-        const waitMs = committedAtMs + gatherMs - performance.now();
+    function scheduleCommit(): void {
+        const waitMs = lastCommitAtMs + batchIntervalMs - performance.now();
         timer ??= setTimeout(() => {
             timer = undefined;
-            commitNext();
+            startCommits();
         }, Math.max(0, waitMs));
     }
 
-    function commitNext(): void {
-        while (commitsUnderWay < maxUnderWay) {
-            const group = takeGroup();
-            if (group.length === 0) {
+    function startCommits(): void {
+        while (activeCommits < maxConcurrentCommits) {
+            const batch = takeBatch();
+            if (batch.length === 0) {
                 return;
             }
-            committedAtMs = performance.now();
-            void commitGroup(group);
+            lastCommitAtMs = performance.now();
+            void commitBatch(batch);
         }
     }
 
-    /** As many waiting submissions as one commit takes. */
-    function takeGroup(): readonly Pending[] {
-        const group = [...pending.values()].filter(({ entry }) => !underWay.has(entry)).slice(0, submissionsPerCommit);
-        group.forEach(({ entry }) => {
+    /** Takes as many pending submissions as fit into one commit. */
+    function takeBatch(): readonly PendingSave[] {
+        const batch = [...pending.values()].filter(({ entry }) => !committing.has(entry)).slice(
+            0,
+            submissionsPerCommit,
+        );
+        batch.forEach(({ entry }) => {
             pending.delete(entry);
-            underWay.add(entry);
+            committing.add(entry);
         });
-        return group;
+        return batch;
     }
 
-    async function commitGroup(group: readonly Pending[]): Promise<void> {
-        commitsUnderWay++;
-        const isSaved = await writeGroup(group);
-        commitsUnderWay--;
-        group.forEach(({ entry }) => underWay.delete(entry));
-        group.forEach(({ waiters }) => waiters.forEach((waiter) => waiter(isSaved)));
+    async function commitBatch(batch: readonly PendingSave[]): Promise<void> {
+        activeCommits++;
+        const isSaved = await writeBatch(batch);
+        activeCommits--;
+        batch.forEach(({ entry }) => committing.delete(entry));
+        batch.forEach(({ waiters }) => waiters.forEach((waiter) => waiter(isSaved)));
         if (!isSaved) {
             [...pending.values()].forEach(({ waiters }) => waiters.forEach((waiter) => waiter(false)));
             pending.clear();
         }
         else if (pending.size > 0) {
-            schedule();
+            scheduleCommit();
         }
     }
 
-    async function writeGroup(group: readonly Pending[]): Promise<boolean> {
+    async function writeBatch(batch: readonly PendingSave[]): Promise<boolean> {
         while (tenure.isValid()) {
-            // What is decided while the call is under way belongs to the next one.
-            const endings = new Map(group.map(({ entry }) => [entry, entry.ending]));
-            const result = await store.commit(toCommit(group.map(({ entry }) => entry)));
+            // A final state that is decided during this call is written by the next one.
+            const finalStates = new Map(batch.map(({ entry }) => [entry, entry.ending]));
+            const result = await store.commit(toCommit(batch.map(({ entry }) => entry)));
             switch (result.kind) {
                 case "committed":
-                    noteWritten(endings, result.revision);
+                    applyRevision(finalStates, result.revision);
                     return true;
                 case "conflict":
-                    if (!resolveConflict(group, result)) {
+                    if (!resolveConflict(batch, result)) {
                         opts.onFenced();
                         return false;
                     }
@@ -130,9 +136,9 @@
                         kind: "note",
                         slice: "progress",
                         message: result.kind,
-                        detail: group.length.toString(),
+                        detail: batch.length.toString(),
                     });
-                    await pause(retryMs);
+                    await pause(retryDelayMs);
             }
         }
         return false;
@@ -161,9 +167,12 @@
         return commit;
     }
 
-    function noteWritten(endings: ReadonlyMap<SubmissionEntry, SubmissionEntry["ending"]>, revision: number): void {
-        for (const [entry, ending] of endings) {
-            if (ending === undefined) {
+    function applyRevision(
+        finalStates: ReadonlyMap<SubmissionEntry, SubmissionEntry["ending"]>,
+        revision: number,
+    ): void {
+        for (const [entry, finalState] of finalStates) {
+            if (finalState === undefined) {
                 entry.progressRevision = revision;
             }
             else {
@@ -173,18 +182,18 @@
         }
     }
 
-    /** Gives false where the duty's key is no longer ours. */
+    /** Adopts the revisions found in the store; false if another entry daemon has written the leader key. */
     function resolveConflict(
-        group: readonly Pending[],
+        batch: readonly PendingSave[],
         { items }: Extract<CommitResult, { kind: "conflict"; }>,
     ): boolean {
         const found = new Map(items.map((item) => [item.key, item]));
         if (found.get(tenure.condition.key)?.revision !== tenure.condition.revision) {
             return false;
         }
-        for (const { entry } of group) {
+        for (const { entry } of batch) {
             if (entry.ending === undefined) {
-                // An earlier write of ours whose answer was lost.
+                // Only this leader writes the record: an earlier commit succeeded, but its answer was lost.
                 entry.progressRevision = found.get(progressKey(entry.submission.id))?.revision ?? 0;
             }
             else {
@@ -215,7 +224,7 @@
                 else {
                     known.waiters.push(resolve);
                 }
-                schedule();
+                scheduleCommit();
             }),
     };
 }
--- a/src/progress/index.ts
+++ b/src/progress/index.ts
@@ -1,3 +1,3 @@
-/** What has happened to tasks, written before anything follows from it. */
+/** Progress of tasks, written to the store before the leader acts on it. */
 export { createProgressWriter, type ProgressWriter } from "./createProgressWriter";
 export { decodeProgress, progressKey, progressPrefix, type TaskProgress } from "./progressRecord";
--- a/src/progress/progressRecord.ts
+++ b/src/progress/progressRecord.ts
@@ -1,16 +1,20 @@
 import type { SubmissionEntry, Task } from "../schedule";
 
-/** Where the owner keeps what has happened to the tasks of submissions that have not ended. */
+/** Prefix of the store keys under which the leader keeps the progress of submissions that have not ended. */
 export const progressPrefix = "samphirepin/run/";
 
+/** Store key of a submission's progress record. */
 export function progressKey(id: string): string {
     return progressPrefix + id;
 }
 
-/** A start that may be running: its number, the worker and the start of that worker's life. */
+/** A run that may be running: its number, its worker's id and when the worker's incarnation started. */
 type RunRow = readonly [number: number, worker: string, bornMs: number];
 
-/** One task that is not as it was handed in; a tuple, since hundreds are written each second. */
+/**
+ * A task that has been started at least once. A tuple keeps the records small: hundreds of tasks are written each
+ * second.
+ */
 type TaskRow = readonly [
     occurrence: number,
     step: number,
@@ -22,13 +26,15 @@
     runs: readonly RunRow[],
 ];
 
+/** Progress record as stored, in JSON. */
 export interface ProgressRecord {
     readonly tasks: readonly TaskRow[];
 }
 
 const phaseLetters = { waiting: "w", done: "d", failed: "f" } as const;
-const phaseNames = { w: "waiting", d: "done", f: "failed" } as const;
+const phasesByLetter = { w: "waiting", d: "done", f: "failed" } as const;
 
+/** Encodes the progress of a submission; tasks that were never started are left out. */
 export function encodeProgress(entry: SubmissionEntry): string {
     const tasks = entry.occurrences.flatMap((occurrence) =>
         occurrence.tasks.flatMap((step) => step.filter(({ lastRun }) => lastRun > 0).map(encodeTask))
@@ -49,7 +55,7 @@
     ];
 }
 
-/** What the record says of one task. */
+/** Progress of one task, decoded from a progress record. */
 export interface TaskProgress {
     readonly occurrence: number;
     readonly step: number;
@@ -61,7 +67,7 @@
     readonly runs: readonly { readonly number: number; readonly workerId: string; readonly bornMs: number; }[];
 }
 
-/** Gives `undefined` for text that is no record; nothing but this product writes there. */
+/** Decodes a progress record; `undefined` for text that isn't one. Only this product writes under these keys. */
 export function decodeProgress(text: string): readonly TaskProgress[] | undefined {
     try {
         return (JSON.parse(text) as ProgressRecord).tasks.map(
@@ -69,7 +75,7 @@
                 occurrence,
                 step,
                 index,
-                phase: phaseNames[phase],
+                phase: phasesByLetter[phase],
                 lastRun,
                 failedRuns,
                 checkpoint,
--- a/src/schedule/board.ts
+++ b/src/schedule/board.ts
@@ -2,44 +2,52 @@
 import type { Step, Submission } from "../submissions";
 
 /**
- * Where one start of a task stands.
+ * State of one run.
  *
- * - `recording`: its record is on its way to the store; no order has left.
- * - `starting`: the order has left and is not answered.
- * - `unconfirmed`: taken from the record of an earlier owner; the worker has not been asked yet.
- * - `running`: the worker has it.
- * - `stopping`: a stop has been decided; the room is taken until the worker lists the end.
+ * - `recording`: the progress record with the run is being written; no start request has been sent.
+ * - `starting`: the start request has been sent and is not answered yet.
+ * - `unconfirmed`: read from the progress record of an earlier leader; the worker has not been polled yet.
+ * - `running`: the worker has accepted or listed the run.
+ * - `stopping`: a stop has been decided; the capacity stays reserved until the worker lists the run as ended.
  */
 export type RunPhase = "recording" | "starting" | "unconfirmed" | "running" | "stopping";
 
-/** One start of a task on one worker. */
+/** One attempt to run a task on one worker. */
 export interface Run {
     readonly task: Task;
+    /** Number of the attempt, starting at 1; runs of a gang that start together have the same number. */
     readonly number: number;
-    /** The latest life of the worker that may have it. */
+    /** Latest incarnation of the worker that may have the run. */
     worker: Worker;
     phase: RunPhase;
     readonly plannedAtMs: number;
-    /** When an order about this run was last answered, on the steady clock; later looks at the worker show it. */
+    /**
+     * When a start or stop request for this run was last answered, on the monotonic clock, or when an unanswered start
+     * can no longer take effect; infinite while neither is known. Only a run list requested after this time shows
+     * whether the worker has the run.
+     */
     answeredAtMs: number;
-    /** Share of the work that is done, 0 to 100; for long-running tasks 100 while at work. */
+    /** Completed share of the work, 0 to 100; 100 for a long-running task that is working. */
     percent: number;
-    /** When `percent` last rose. */
+    /** When `percent` last increased, on the monotonic clock. */
     progressAtMs: number;
-    /** When the run first showed in the worker's list. */
+    /** When a run list of the worker first contained the run, on the monotonic clock; `undefined`: none has. */
     seenAtMs: number | undefined;
     checkpoint: string;
-    /** Latest figure of the worker for the run: latency of a serving task in ms, processor use of another. */
+    /**
+     * Latest value from the worker: latency in ms for a task with a latency target, else processor use in thousandths.
+     */
     measure: number;
-    /** Share of the processor that a filler is allowed, 0 to 100. */
+    /** Limit on a filler's processor use, in percent, 0 to 100. */
     pacePercent: number;
-    /** Why it is being stopped. */
+    /** Why the run is being stopped; `undefined`: it is not. */
     stopReason: string | undefined;
     isStopSent: boolean;
 }
 
 export type TaskPhase = "waiting" | "done" | "failed";
 
+/** One task of a step, in one occurrence of its submission. */
 export interface Task {
     readonly name: string;
     readonly owner: SubmissionEntry;
@@ -48,87 +56,98 @@
     readonly step: Step;
     readonly index: number;
     phase: TaskPhase;
-    /** Highest number used for a start. */
+    /** Highest run number used so far; 0: none. */
     lastRun: number;
-    /** Numbers of the runs that ended as failed; their count is the number of attempts used up. */
+    /** Numbers of the failed runs; the size of the set is the number of attempts used. */
     readonly failedRuns: Set<number>;
-    /** Numbers of the ordered runs that were given up without an end; one that shows again was given up too early. */
+    /**
+     * Numbers of the runs that were requested and then dropped without a reported end. One that a worker lists later
+     * was dropped too early.
+     */
     readonly droppedRuns: Set<number>;
     checkpoint: string;
     readonly runs: Run[];
-    /** Not started before this time, on the steady clock. */
+    /** Earliest time of the next start, on the monotonic clock. */
     notBeforeMs: number;
-    /** Workers where it failed. */
+    /** Ids of the workers where a run of the task failed. */
     readonly failedOn: Set<string>;
-    /** When it last had nothing running, on the steady clock. */
+    /** When its last run was removed, or else when the task was added, on the monotonic clock. */
     waitingSinceMs: number;
 }
 
-/** One run through all steps of a submission. */
+/** One execution of all steps of a submission. */
 export interface Occurrence {
     readonly number: number;
+    /** Tasks by step number, then by index. */
     readonly tasks: readonly (readonly Task[])[];
+    /** Earliest start, in milliseconds since 1970; 0: at once. */
     readonly dueAtMs: number;
 }
 
+/** A submission that has not ended, with its tasks and their progress. */
 export interface SubmissionEntry {
     readonly submission: Submission;
-    /** Revision of its record in the store. */
+    /** Revision of the submission's record in the store. */
     revision: number;
-    /** Revision of the owner's progress record; 0 where there is none. */
+    /** Revision of the submission's progress record, which the leader writes; 0: there is none. */
     progressRevision: number;
     isCancelled: boolean;
     hasBegun: boolean;
     readonly occurrences: Occurrence[];
-    /** The end that has been decided; shown once it is in the store. */
+    /** The final state that has been decided; made visible once it is in the store. */
     ending: "complete" | "failed" | "cancelled" | undefined;
     readonly seenAtMs: number;
-    /** Availability zone of the worker that a task of it was placed on last; `undefined`: of none yet. */
+    /** Availability zone of the worker that one of its tasks was last placed on; `undefined`: none yet. */
     zone: string | undefined;
-    /** What the order goes by, as it was worked out last. */
+    /** Cached estimate that the ranking uses; `undefined`: not computed yet. */
     outlook: Outlook | undefined;
 }
 
-/** What a submission still has before it. */
+/** Estimate of what a submission still has to run. */
 export interface Outlook {
-    /** Core-milliseconds. */
+    /** Remaining work, in core-milliseconds. */
     readonly workCoreMs: number;
-    /** Longest chain of steps from now on, and of all steps, in milliseconds. */
+    /** Remaining length of the critical path. */
     readonly chainMs: number;
+    /** Length of the critical path over all steps, done or not. */
     readonly wholeChainMs: number;
-    /** When it was worked out, on the steady clock. */
+    /** When the estimate was computed, on the monotonic clock. */
     readonly atMs: number;
 }
 
-/** A reading of a worker's clock: it showed `workerMs` at some time between the two readings of ours. */
+/**
+ * A sample of a worker's clock: it read `workerMs` at some time between `sentAtMs` and `receivedAtMs` on the local
+ * clock.
+ */
 export interface ClockReading {
     readonly workerMs: number;
     readonly sentAtMs: number;
     readonly receivedAtMs: number;
-    /** Call whose answer showed it. */
+    /** Request whose answer contained the sample. */
     readonly from: "start" | "stop" | "list";
 }
 
 /**
- * What a worker runs, as far as this tenure has been shown it.
+ * Whether this tenure has read the worker's run list.
  *
- * - `unread`: not yet, whatever else the worker has answered; an earlier owner may have ordered anything there.
- * - `read`: the worker has seen this tenure's token and has shown its list.
+ * - `unread`: not yet, even if the worker has answered other requests; an earlier leader may have started any run
+ *   there.
+ * - `read`: the worker has seen this tenure's fencing token and has returned its run list.
  */
 export type RunList =
     | { readonly kind: "unread"; }
     | {
         readonly kind: "read";
-        /** When the first list came, on the steady clock. */
+        /** When the first run list was received, on the monotonic clock. */
         readonly firstReadAtMs: number;
-        /** When the latest list was asked for, on the steady clock. */
+        /** When the latest run list was requested, on the monotonic clock. */
         readonly askedAtMs: number;
     };
 
-/** One life of a machine. */
+/** One incarnation of a worker: from one start until the next start under the same id. */
 export interface Worker {
     readonly id: string;
-    /** Start of this life, milliseconds since 1970; tells lives under the same id apart. */
+    /** When this incarnation started, in milliseconds since 1970; distinguishes incarnations with the same id. */
     readonly bornMs: number;
     address: string;
     pool: string;
@@ -137,51 +156,57 @@
     labels: readonly string[];
     capacity: Resources;
     isDraining: boolean;
-    /** How much longer a draining worker stays at least, in milliseconds. */
+    /** Minimum time until a draining worker is removed, in milliseconds. */
     drainLeftMs: number;
-    /** Its entry stands in the store. */
+    /** The worker's registration is in the store. */
     isListed: boolean;
     runList: RunList;
-    /** The last call was answered. */
+    /** The last request was answered. */
     isReachable: boolean;
-    /** Its availability zone is under evacuation: what runs may end, nothing new is started. */
+    /** Its availability zone is under evacuation: runs may finish, no new ones start. */
     isEvacuated: boolean;
-    /** Kept free of new work, to be moved or maintained. */
+    /** Gets no new work, because the machine is to be moved or maintained. */
     isReserved: boolean;
     clock: ClockReading | undefined;
-    /** Latest time on the worker's clock until which a lease may run, among those that this tenure knows of. */
+    /** Latest expiry among the leases that this tenure knows of, on the worker's clock. */
     leaseUntilWorkerMs: number;
-    /** When it last answered any call, on the steady clock. */
+    /** When the worker last answered any request, on the monotonic clock. */
     answeredAtMs: number;
-    /** When runs ordered of an earlier life came to it last, on the steady clock; `undefined`: none has. */
+    /**
+     * When this incarnation last took over runs that were requested from an earlier one, on the monotonic clock;
+     * `undefined`: never.
+     */
     inheritedAtMs: number | undefined;
-    /** Highest number of its ends that has been recorded. */
+    /** Highest sequence number of a reported end that has been recorded. */
     ackedEnd: number;
     readonly runs: Set<Run>;
-    /** Room taken by runs, fillers without their processors. */
+    /** Capacity reserved for runs; a filler's processors don't count. */
     used: { cpuMillis: number; memoryMb: number; accelerators: number; };
-    /** Runs that it lists and that belong to no task any more; they take room until they end. */
+    /** Number of listed runs that belong to no task any more; they use capacity until they end. */
     strays: number;
     readonly outcomes: WorkerOutcomes;
-    /** When it last had something to run, on the steady clock. */
+    /** When a run on the worker was last removed, on the monotonic clock. */
     idleSinceMs: number;
 }
 
-/** What tells a sound worker from one that fails all it starts. */
+/** Recent outcomes, which distinguish a healthy worker from one on which every run fails. */
 export interface WorkerOutcomes {
-    /** Submissions whose tasks failed since the last success, each counted once. */
+    /** Ids of submissions with a failed run since the last success; each counts once. */
     readonly failedSubmissions: Set<string>;
     lastSuccessAtMs: number;
     lastFailureAtMs: number;
-    /** Stands still or works far too slowly since this time; 0: no. */
+    /**
+     * End of the quarantine, on the monotonic clock; 0: none. A worker whose runs stall or progress far too slowly, or
+     * that refused a start as unhealthy, gets no new work before it.
+     */
     quarantinedUntilMs: number;
 }
 
-/** All that an owner knows and decides on. */
+/** In-memory state that the leader's scheduling decisions are based on. */
 export interface Board {
     readonly submissions: Map<string, SubmissionEntry>;
     readonly workers: Map<string, Worker>;
-    /** What each tenant has running or may have running. */
+    /** Resources of each tenant's runs, including those that may be running. */
     readonly tenantUse: Map<string, { cpuMillis: number; memoryMb: number; accelerators: number; }>;
 }
 
--- a/src/schedule/createWorker.ts
+++ b/src/schedule/createWorker.ts
@@ -1,7 +1,7 @@
 import type { Worker } from "./board";
 import { createOutcomes } from "./workerHealth";
 
-/** A worker of which nothing is known yet but its name and its life. */
+/** Creates the state of a worker of which only the id and the incarnation are known. */
 export function createWorker(id: string, bornMs: number): Worker {
     return {
         id,
--- a/src/schedule/entries.ts
+++ b/src/schedule/entries.ts
@@ -1,14 +1,14 @@
 import type { Submission } from "../submissions";
 import type { Board, Occurrence, SubmissionEntry, Task } from "./board";
 
-/** Name of a task on the workers. */
+/** Name that identifies a task on workers: submission id, occurrence, step number and index. */
 export function taskName(id: string, occurrence: number, step: number, index: number): string {
     return `${id}.${occurrence}.${step}.${index}`;
 }
 
-/** Puts a stored submission on the board. */
+/** Adds a submission from the store to the scheduler state. */
 export function addSubmission(
-    board: Board,
+    state: Board,
     submission: Submission,
     revision: number,
     isCancelled: boolean,
@@ -26,21 +26,21 @@
         zone: undefined,
         outlook: undefined,
     };
-    board.submissions.set(submission.id, entry);
+    state.submissions.set(submission.id, entry);
     return entry;
 }
 
-/** Number of times that the steps run. */
+/** Number of occurrences of a submission. */
 export function occurrenceCount({ schedule }: Submission): number {
     return Math.max(1, schedule.repeats);
 }
 
-/** When an occurrence may begin, in milliseconds since 1970. */
+/** Earliest start of an occurrence, in milliseconds since 1970; 0: at once. */
 export function dueAtMs({ schedule }: Submission, occurrence: number): number {
     return schedule.repeats > 0 ? schedule.startAtMs + occurrence * schedule.intervalMs : 0;
 }
 
-/** Adds the tasks of the next occurrence. */
+/** Creates the next occurrence with its tasks. */
 export function addOccurrence(entry: SubmissionEntry, nowMs: number): Occurrence {
     const { submission, occurrences } = entry;
     const number = occurrences.length;
@@ -68,7 +68,7 @@
     return occurrence;
 }
 
-/** Adds each occurrence whose time has come. */
+/** Creates every occurrence that is due. */
 export function addDueOccurrences(entry: SubmissionEntry, timeOfDayMs: number, nowMs: number): void {
     const { submission, occurrences } = entry;
     while (
@@ -79,12 +79,14 @@
     }
 }
 
-export function findTask(board: Board, name: string): Task | undefined {
+/** Finds a task by its name; `undefined`: there is no such task. */
+export function findTask(state: Board, name: string): Task | undefined {
     const [id = "", occurrence, step, index] = name.split(".");
-    const tasks = board.submissions.get(id)?.occurrences[Number(occurrence)]?.tasks;
+    const tasks = state.submissions.get(id)?.occurrences[Number(occurrence)]?.tasks;
     return tasks?.[Number(step)]?.[Number(index)];
 }
 
+/** Tasks of all occurrences that have been created. */
 export function* tasksOf(entry: SubmissionEntry): Generator<Task> {
     for (const { tasks } of entry.occurrences) {
         for (const step of tasks) {
@@ -93,13 +95,13 @@
     }
 }
 
-/** Whether all tasks of the steps that a step waits for are done. */
+/** Whether all tasks of the steps that a step depends on are done. */
 export function isStepReady({ tasks }: Occurrence, stepNumber: number): boolean {
     const after = tasks[stepNumber]?.[0]?.step.after ?? [];
     return after.every((earlier) => tasks[earlier]?.every(({ phase }) => phase === "done") ?? true);
 }
 
-/** Whether the submission has nothing left to run. */
+/** Whether all occurrences have been created and all their tasks are done. */
 export function isComplete(entry: SubmissionEntry): boolean {
     if (entry.occurrences.length < occurrenceCount(entry.submission)) {
         return false;
--- a/src/schedule/estimates.ts
+++ b/src/schedule/estimates.ts
@@ -1,42 +1,43 @@
 import type { Occurrence, Run, SubmissionEntry, Task } from "./board";
 import { isStepReady } from "./entries";
 
-/** Learns how long tasks of a queue really take against what clients declare. */
+/** Estimates run durations from declared durations, corrected by the observed ratio of each queue. */
 export interface Estimates {
-    /** A sound run of a declared length took this long. */
-    learn(route: string, declaredMs: number, tookMs: number): void;
-    /** Expected time of one run, in milliseconds. */
+    /** Records the actual duration of a run that ended as done, in milliseconds. */
+    learn(queue: string, declaredMs: number, tookMs: number): void;
+    /** Expected duration of one run of the task, in milliseconds. */
     expectMs(task: Task): number;
 }
 
-/** Weight of the newest end in the learnt ratio: about the last 20 ends count. */
-const learnWeight = 0.05;
+/** Weight of a new sample in the moving average: about the last 20 runs count. */
+const sampleWeight = 0.05;
 
-/** A single end moves the ratio no further than this factor, so that one stalled run does not distort it. */
+/** Bounds the ratio of one sample, in both directions, so that one stalled run does not distort the average. */
 const maxRatio = 4;
 
-/** Used where a client declares nothing, in milliseconds. */
+/** Duration assumed where a client declares none, in milliseconds. */
 const defaultTaskMs = 1000;
 
 /**
- * Declared times may be off by a factor of two or three either way, as a whole queue or task by task. The queue's part
- * is learnt here; order and speculation go by it.
+ * Creates estimates without samples. Declared durations may be wrong by a factor of two or three in either direction,
+ * for a whole queue or for single tasks. The moving average corrects the error of the queue. Ranking and speculative
+ * runs use the result.
  */
 export function createEstimates(): Estimates {
     const ratios = new Map<string, number>();
     return {
-        learn(route, declaredMs, tookMs) {
+        learn(queue, declaredMs, tookMs) {
             const ratio = Math.min(maxRatio, Math.max(1 / maxRatio, tookMs / Math.max(1, declaredMs)));
-            const known = ratios.get(route) ?? 1;
-            ratios.set(route, known + (ratio - known) * learnWeight);
+            const known = ratios.get(queue) ?? 1;
+            ratios.set(queue, known + (ratio - known) * sampleWeight);
         },
-        expectMs({ owner, step }) {
-            return (step.estimateMs || defaultTaskMs) * (ratios.get(owner.submission.route) ?? 1);
+        expectMs({ owner: entry, step }) {
+            return (step.estimateMs || defaultTaskMs) * (ratios.get(entry.submission.route) ?? 1);
         },
     };
 }
 
-/** Work that a submission still has before it, in core-milliseconds. */
+/** Remaining work of a submission, in core-milliseconds; long-running tasks don't count. */
 export function remainingWork(entry: SubmissionEntry, estimates: Estimates): number {
     let work = 0;
     for (const { tasks } of entry.occurrences) {
@@ -52,43 +53,48 @@
     return work;
 }
 
-/** Shortest time in which a submission can end from now on, in milliseconds: its longest chain of steps. */
+/** Shortest time in which a submission can still end, in milliseconds: the remaining length of its critical path. */
 export function remainingChainMs(entry: SubmissionEntry, estimates: Estimates): number {
-    return Math.max(0, ...entry.occurrences.map((occurrence) => chainMs(occurrence, estimates, leftShare)));
+    return Math.max(0, ...entry.occurrences.map((occurrence) => criticalPathMs(occurrence, estimates, remainingShare)));
 }
 
-/** Length of the longest chain of all steps of a submission, done or not, in milliseconds. */
+/** Length of a submission's critical path over all steps, done or not, in milliseconds. */
 export function wholeChainMs({ occurrences }: SubmissionEntry, estimates: Estimates): number {
     const [first] = occurrences;
-    return first === undefined ? 0 : chainMs(first, estimates, () => 1);
+    return first === undefined ? 0 : criticalPathMs(first, estimates, () => 1);
 }
 
-/** `shareOf`: which part of a step counts. */
-function chainMs(
+/**
+ * Length of the critical path of an occurrence, in milliseconds.
+ *
+ * @param shareOf the share of a step's duration that counts, 0 to 1
+ */
+function criticalPathMs(
     { tasks }: Occurrence,
     estimates: Estimates,
     shareOf: (step: readonly Task[]) => number,
 ): number {
-    const ends: number[] = [];
+    const endsMs: number[] = [];
     for (const step of tasks) {
         const first = step[0];
-        const begin = Math.max(0, ...(first?.step.after ?? []).map((earlier) => ends[earlier] ?? 0));
-        ends.push(begin + (first === undefined ? 0 : shareOf(step) * estimates.expectMs(first)));
+        const startMs = Math.max(0, ...(first?.step.after ?? []).map((earlier) => endsMs[earlier] ?? 0));
+        endsMs.push(startMs + (first === undefined ? 0 : shareOf(step) * estimates.expectMs(first)));
     }
-    return Math.max(0, ...ends);
+    return Math.max(0, ...endsMs);
 }
 
-/** The part of a step's time that is still before it. */
-function leftShare(step: readonly Task[]): number {
+/** Share of a step's duration that remains, 0 to 1. */
+function remainingShare(step: readonly Task[]): number {
     const open = step.filter(({ phase }) => phase !== "done");
     return Math.max(0, ...open.map(({ runs }) => 1 - doneShare(runs)));
 }
 
+/** Completed share of a task, 0 to 1: that of its most advanced run. */
 function doneShare(runs: readonly Run[]): number {
     return runs.reduce((most, { percent }) => Math.max(most, percent), 0) / 100;
 }
 
-/** Processors that ready tasks without a run ask for, in thousandths. */
+/** Processors requested by waiting tasks that are ready and have no run, in thousandths of a core. */
 export function waitingCpuMillis(entry: SubmissionEntry): number {
     let cpuMillis = 0;
     for (const occurrence of entry.occurrences) {
--- a/src/schedule/hasTenantRoom.ts
+++ b/src/schedule/hasTenantRoom.ts
@@ -2,9 +2,9 @@
 import type { Board } from "./board";
 
 /**
- * Whether a client account may have more tasks of a size running, by its limit over all workers.
+ * Whether a client account may run `count` more tasks of a size within its limit over all workers.
  *
- * @param cap the account's limit; 0 in a dimension: none; `undefined`: none at all
+ * @param cap the account's limit; 0 in a dimension: no limit there; `undefined`: no limit at all
  */
 export function hasTenantRoom(
     { tenantUse }: Board,
@@ -17,8 +17,8 @@
         return true;
     }
     const use = tenantUse.get(tenant) ?? { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
-    const isBelow = (used: number, each: number, most: number) => most === 0 || used + each * count <= most;
-    return isBelow(use.cpuMillis, size.cpuMillis, cap.cpuMillis)
-        && isBelow(use.memoryMb, size.memoryMb, cap.memoryMb)
-        && isBelow(use.accelerators, size.accelerators, cap.accelerators);
+    const isWithin = (used: number, each: number, limit: number) => limit === 0 || used + each * count <= limit;
+    return isWithin(use.cpuMillis, size.cpuMillis, cap.cpuMillis)
+        && isWithin(use.memoryMb, size.memoryMb, cap.memoryMb)
+        && isWithin(use.accelerators, size.accelerators, cap.accelerators);
 }
--- a/src/schedule/index.ts
+++ b/src/schedule/index.ts
@@ -1,4 +1,4 @@
-/** Decisions about work, without network or clock: what waits, in which order, and which worker takes it. */
+/** Scheduling decisions, without I/O or clock: which tasks wait, in which order they start, and on which worker. */
 export * from "./board";
 export { createWorker } from "./createWorker";
 export {
--- a/src/schedule/lookAhead.ts
+++ b/src/schedule/lookAhead.ts
@@ -3,14 +3,14 @@
 import { type Estimates, remainingChainMs, remainingWork, wholeChainMs } from "./estimates";
 
 /**
- * How long a submission's outlook is used, in milliseconds. Worked out for each waiting submission in each round it would
- * take more time than all the rest of planning; the order changes little in this time.
+ * How long a cached estimate is used, in milliseconds. Computing it for each waiting submission in each planning round
+ * would take longer than the rest of the round. The ranking changes little within this time.
  */
-const outlookReuseMs = 200;
+const cacheMs = 200;
 
-/** What a submission still has before it, as of the last `outlookReuseMs`. */
+/** Remaining work and critical path of a submission, from an estimate at most `cacheMs` old. */
 export function lookAhead(entry: SubmissionEntry, estimates: Estimates, nowMs: number): Outlook {
-    if (entry.outlook === undefined || nowMs - entry.outlook.atMs > outlookReuseMs) {
+    if (entry.outlook === undefined || nowMs - entry.outlook.atMs > cacheMs) {
         entry.outlook = {
             workCoreMs: remainingWork(entry, estimates),
             chainMs: remainingChainMs(entry, estimates),
@@ -21,7 +21,10 @@
     return entry.outlook;
 }
 
-/** The age by which a submission of a queue has to be complete to be in time, in milliseconds. */
-export function targetAgeMs({ targetLatencyMs, stretch }: Route, { chainMs, wholeChainMs }: Outlook): number {
-    return targetLatencyMs + stretch * Math.max(chainMs, wholeChainMs);
+/** Greatest age at which a submission of a queue is still completed in time, in milliseconds. */
+export function targetAgeMs(
+    { targetLatencyMs, stretch }: Route,
+    { chainMs: criticalPathMs, wholeChainMs: fullCriticalPathMs }: Outlook,
+): number {
+    return targetLatencyMs + stretch * Math.max(criticalPathMs, fullCriticalPathMs);
 }
--- a/src/schedule/orderWork.ts
+++ b/src/schedule/orderWork.ts
@@ -5,11 +5,11 @@
 import type { Estimates } from "./estimates";
 import { lookAhead, targetAgeMs } from "./lookAhead";
 
-/** Tasks that start together or not at all, in the order in which they should be tried. */
+/** Tasks that are placed all together or not at all. */
 export interface Unit {
     readonly entry: SubmissionEntry;
     readonly route: Route;
-    /** One task, or all of a gang. */
+    /** One task, or all tasks of a gang. */
     readonly tasks: readonly Task[];
 }
 
@@ -22,30 +22,31 @@
 }
 
 /**
- * A submission that has waited this long goes before all others of its rank, in milliseconds: those that are large or
- * already late are put back again and again by newer ones, and would starve while a pool stays full.
+ * Age from which a late submission ranks with those in time, in milliseconds. Newer submissions overtake large or late
+ * ones again and again; these would starve while a pool stays full.
  */
-const starvingMs = 30_000;
+const starvationAgeMs = 30_000;
 
-/** A submission that has something to start, with its queue. */
+/** A submission with tasks that can start, and its queue. */
 export interface RankedEntry {
     readonly entry: SubmissionEntry;
     readonly route: Route;
 }
 
 interface Ranked extends RankedEntry {
-    /** Groups in which submissions go first: long-running, in time or starving, late. */
+    /** First sort key: 0 for long-running, 1 for in time or starving, 2 for late. */
     readonly group: number;
     readonly workCoreMs: number;
 }
 
 /**
- * The order in which waiting work is offered room.
+ * Ranks the submissions with tasks that can start, best first.
  *
- * A queue asks five times its mean for some seconds, more than its pool holds, so somebody has to wait. A submission
- * earns nearly all of its worth until its target (stretch times its chain, and the queue's latency target) and a
- * fraction later, and small ones earn more for each core-second. So those that can still make their target go first,
- * least remaining work before more; those that cannot follow; and whoever has waited very long goes first.
+ * In a burst a queue's demand is five times its mean for some seconds. That exceeds its pool's capacity, so some
+ * submissions have to wait. A submission earns nearly all of its value if it ends by its target (stretch times its
+ * critical path, plus the queue's latency target) and a fraction of it later. Small submissions earn more per
+ * core-second. So those that can still meet their target come first, by priority of the queue and then least remaining
+ * work first. Late ones follow, unless they have waited so long that they rank with the first.
  */
 export function orderWork(opts: OrderOptions): readonly RankedEntry[] {
     const ranked: Ranked[] = [];
@@ -59,15 +60,20 @@
     );
 }
 
-function rank(entry: SubmissionEntry, route: Route, opts: OrderOptions): Ranked {
+function rank(entry: SubmissionEntry, queue: Route, opts: OrderOptions): Ranked {
     const { submission } = entry;
     if (submission.steps.some(({ isLongRunning }) => isLongRunning)) {
-        return { entry, route, group: 0, workCoreMs: 0 };
+        return { entry, route: queue, group: 0, workCoreMs: 0 };
     }
-    const outlook = lookAhead(entry, opts.estimates, opts.nowMs);
+    const remaining = lookAhead(entry, opts.estimates, opts.nowMs);
     const ageMs = opts.timeOfDayMs - submission.acceptedAtMs;
-    const isInTime = ageMs + outlook.chainMs <= targetAgeMs(route, outlook);
-    return { entry, route, group: isInTime || ageMs > starvingMs ? 1 : 2, workCoreMs: outlook.workCoreMs };
+    const isInTime = ageMs + remaining.chainMs <= targetAgeMs(queue, remaining);
+    return {
+        entry,
+        route: queue,
+        group: isInTime || ageMs > starvationAgeMs ? 1 : 2,
+        workCoreMs: remaining.workCoreMs,
+    };
 }
 
 function hasStartable({ occurrences }: SubmissionEntry, nowMs: number): boolean {
@@ -78,8 +84,8 @@
     );
 }
 
-/** What of a submission can start now: single tasks, and gangs whole. */
-export function listUnits({ entry, route }: RankedEntry, nowMs: number): readonly Unit[] {
+/** Tasks of a submission that can start now: single tasks, and gangs if all of their tasks can start. */
+export function listUnits({ entry, route: queue }: RankedEntry, nowMs: number): readonly Unit[] {
     const units: Unit[] = [];
     for (const occurrence of entry.occurrences) {
         occurrence.tasks.forEach((step, number) => {
@@ -88,13 +94,13 @@
             }
             if (step[0]?.step.isGang === true) {
                 if (step.every((task) => isStartable(task, nowMs))) {
-                    units.push({ entry, route, tasks: step });
+                    units.push({ entry, route: queue, tasks: step });
                 }
                 return;
             }
             for (const task of step) {
                 if (isStartable(task, nowMs)) {
-                    units.push({ entry, route, tasks: [task] });
+                    units.push({ entry, route: queue, tasks: [task] });
                 }
             }
         });
--- a/src/schedule/paceOfWork.ts
+++ b/src/schedule/paceOfWork.ts
@@ -1,22 +1,27 @@
 import type { Outlook } from "./board";
 
-/** Shortest chain that is reckoned with, in milliseconds: below it the way of an order takes most of the time. */
-const leastChainMs = 100;
+/** Minimum span, in milliseconds: for anything shorter, sending the start request takes most of the time. */
+const minSpanMs = 100;
 
-/** A submission that comes late earns a little until this many times its target, by the platform's rules. */
-const lateTargets = 3;
+/** A late submission still earns a little up to this multiple of its target, by the platform's rules. */
+const maxLateFactor = 3;
 
 /**
- * Processors that a submission should have on the mean from now on, in thousandths.
+ * Mean number of processors that a submission should have from now on, in thousandths of a core.
  *
- * One that can be in time gets what it would use unhindered: its work over its chain. Steps follow each other, so counting
- * all its tasks at once asks for twice as much with two steps, and half of the machines that were sent found nothing to do.
- * Spread over the time until its target, work asks for fewer machines, and nothing is left for declared times that are off.
- * One that is late already is spread over the time in which
- * it still earns something.
+ * A submission that can end in time gets what it would use without contention: its remaining work divided by the
+ * remaining length of its critical path. Counting all its tasks at once would be wrong, because steps run one after
+ * another: with two steps it requests twice as much, and half of the machines that are moved in find nothing to do.
+ * Dividing by the time until the target would request fewer machines, but leaves no slack for declared durations that
+ * are too short. The work of a submission that is already late is divided by the time in which it still earns
+ * something.
  */
-export function paceOfWorkCpuMillis({ workCoreMs, chainMs }: Outlook, targetAgeMs: number, ageMs: number): number {
-    const isInTime = ageMs + chainMs <= targetAgeMs;
-    const spanMs = isInTime ? chainMs : Math.max(chainMs, lateTargets * targetAgeMs - ageMs);
-    return 1000 * workCoreMs / Math.max(leastChainMs, spanMs);
+export function paceOfWorkCpuMillis(
+    { workCoreMs, chainMs: criticalPathMs }: Outlook,
+    targetAgeMs: number,
+    ageMs: number,
+): number {
+    const isInTime = ageMs + criticalPathMs <= targetAgeMs;
+    const spanMs = isInTime ? criticalPathMs : Math.max(criticalPathMs, maxLateFactor * targetAgeMs - ageMs);
+    return 1000 * workCoreMs / Math.max(minSpanMs, spanMs);
 }
--- a/src/schedule/placeTask.ts
+++ b/src/schedule/placeTask.ts
@@ -5,13 +5,13 @@
 export interface PlaceOptions {
     readonly workers: readonly Worker[];
     readonly nowMs: number;
-    /** Workers that may run the step; `undefined`: all. */
+    /** Ids of the workers that may run the step; `undefined`: all. */
     readonly allowed?: ReadonlySet<string> | undefined;
-    /** Another copy of the task runs on these. */
+    /** Workers that already have a run of the task. */
     readonly avoid?: ReadonlySet<Worker>;
 }
 
-/** Whether a worker has room for a task, with what is reserved on it. */
+/** Whether a worker has enough free capacity for a task, given what is reserved on it. */
 export function hasRoom(worker: Worker, { step }: Task): boolean {
     const { used, capacity } = worker;
     const cpuMillis = step.isFiller ? 0 : step.size.cpuMillis;
@@ -20,26 +20,26 @@
         && used.accelerators + step.size.accelerators <= capacity.accelerators;
 }
 
-/** Whether a task could ever run on a worker that is empty. */
+/** Whether a task fits on an empty worker of a capacity. */
 export function fitsEmpty(capacity: Resources, { step }: Task): boolean {
     return step.size.cpuMillis <= capacity.cpuMillis
         && step.size.memoryMb <= capacity.memoryMb
         && step.size.accelerators <= capacity.accelerators;
 }
 
-/** Whether new work may be given to a worker at all. */
+/** Whether a worker may get new work at all. */
 export function isOpen(worker: Worker): boolean {
     return isInService(worker) && !worker.isEvacuated;
 }
 
-/** Whether a worker could take work as far as it and its machine are concerned, evacuations aside. */
+/** Whether the state of a worker and its machine allows new work; evacuation of its zone is not considered. */
 export function isInService(worker: Worker): boolean {
     return worker.isListed && worker.runList.kind === "read" && worker.isReachable && !worker.isDraining
         && !worker.isReserved
         && worker.strays === 0;
 }
 
-/** Whether a worker may run a task, room aside. */
+/** Whether a worker may run a task; free capacity is not considered. */
 export function isEligible(worker: Worker, task: Task, opts: PlaceOptions): boolean {
     const { step } = task;
     return isOpen(worker)
@@ -50,7 +50,7 @@
         && (step.maxPerWorker === 0 || countSiblings(worker, task) < step.maxPerWorker);
 }
 
-/** Tasks of the same step and occurrence on the worker. */
+/** Number of runs of the same step and occurrence on the worker. */
 function countSiblings(worker: Worker, task: Task): number {
     let count = 0;
     for (const run of worker.runs) {
@@ -63,15 +63,17 @@
 }
 
 /**
- * The worker that should run a task; `undefined` where none may or none has room.
+ * Chooses the worker that should run a task; `undefined`: no worker is eligible and has enough free capacity.
  *
- * Near its data a task takes its time, elsewhere `remoteFactor` times as long, so the data's rack goes first. Long-running
- * tasks then take the fullest worker that holds them: they stay, and whatever they leave free on other machines can be
- * moved to where work waits. Short tasks take the fullest worker too, but those that hold long-running tasks first, so
- * that machines which serve a burst run empty soon after it. Tasks of one submission that ends by itself keep to one
- * availability zone: it ends with its last task, and spread over all zones nearly each one would wait for leases to run out
- * when any zone is cut off. Tasks that disturb each other are kept apart: a filler goes
- * where the fewest serving tasks are.
+ * - The rack of the task's data comes first: elsewhere the task takes longer, by the fleet's `remoteFactor`.
+ * - Long-running tasks go to the fullest worker that still fits them. They stay there, and the machines that are left
+ *   empty can be moved to where work waits.
+ * - Short tasks also go to the fullest worker, but prefer workers that have long-running tasks. So the machines that
+ *   serve a burst become empty soon after it.
+ * - Tasks of one submission that is not long-running prefer one availability zone. A submission ends with its last
+ *   task; with all of them spread over all zones, nearly every submission would wait for leases to expire whenever a
+ *   zone is partitioned.
+ * - A filler goes to the worker with the fewest tasks with a latency target, because it slows them down.
  */
 export function placeTask(task: Task, opts: PlaceOptions): Worker | undefined {
     let best: Worker | undefined;
@@ -80,7 +82,7 @@
         if (!hasRoom(worker, task) || !isEligible(worker, task, opts)) {
             continue;
         }
-        const score = scorePlace(worker, task);
+        const score = scoreWorker(worker, task);
         if (score > bestScore) {
             best = worker;
             bestScore = score;
@@ -89,29 +91,29 @@
     return best;
 }
 
-const dataRackBonus = 100;
-const failedHerePenalty = 50;
-const stayingBonus = 2;
-const sameZoneBonus = 4;
+const dataRackScore = 100;
+const failedBeforePenalty = 50;
+const longRunningScore = 2;
+const sameZoneScore = 4;
 
-function scorePlace(worker: Worker, task: Task): number {
+function scoreWorker(worker: Worker, task: Task): number {
     const { step } = task;
     const fullness = worker.used.cpuMillis / Math.max(1, worker.capacity.cpuMillis);
     let score = step.isFiller ? -countServing(worker) : fullness;
     if (step.dataRack !== undefined && worker.rack === step.dataRack) {
-        score += dataRackBonus;
+        score += dataRackScore;
     }
     if (task.failedOn.has(worker.id)) {
-        score -= failedHerePenalty;
+        score -= failedBeforePenalty;
     }
     if (!step.isLongRunning) {
-        score += hasStaying(worker) ? stayingBonus : 0;
-        score += worker.zone === task.owner.zone ? sameZoneBonus : 0;
+        score += hasLongRunning(worker) ? longRunningScore : 0;
+        score += worker.zone === task.owner.zone ? sameZoneScore : 0;
     }
     return score;
 }
 
-function hasStaying(worker: Worker): boolean {
+function hasLongRunning(worker: Worker): boolean {
     for (const run of worker.runs) {
         if (run.task.step.isLongRunning) {
             return true;
@@ -120,7 +122,7 @@
     return false;
 }
 
-/** Long-running tasks with a latency target; what fills beside them disturbs them. */
+/** Number of runs with a latency target; a filler on the same worker increases their latency. */
 function countServing(worker: Worker): number {
     let count = 0;
     for (const run of worker.runs) {
--- a/src/schedule/planCopies.ts
+++ b/src/schedule/planCopies.ts
@@ -13,61 +13,66 @@
     readonly nowMs: number;
 }
 
-/** Runs of one task at most, the first among them. */
+/** Maximum number of concurrent runs of a task, including the first. */
 const maxRuns = 2;
 
-/** A run that has taken this many times what is expected gets a copy: most runs end well before. */
-const lateFactor = 1.8;
+/** A run is a straggler after this multiple of its expected duration: most runs end well before. */
+const stragglerFactor = 1.8;
 
-/** No copies before this time, in milliseconds; one costs a start and the work that is thrown away. */
-const earliestMs = 700;
+/** Minimum age of a straggler, in milliseconds: a speculative run costs a start and the work that is discarded. */
+const minStragglerMs = 700;
 
 /**
- * Starts a second copy of tasks that may have one, on another worker, where the first takes far longer than others of its
- * kind or its worker has fallen silent.
+ * Adds a speculative run, on another worker, for each task that allows it and whose first run takes far longer than
+ * expected or is on a worker that is unreachable. Returns the new runs, in phase `recording`.
  *
- * A worker that turned slow or stands still holds up the last tasks of a step, and with them everything that waits for
- * the step. A copy on a sound worker ends at about the usual time; the other is stopped. What runs on a silent worker can
- * only be given up when its lease must have run out, seconds after the step should have ended; a copy need not wait.
+ * A worker that is slow or stalled delays the last tasks of a step, and so every step that depends on it. A second run
+ * on a healthy worker ends at about the usual time, and the other run is stopped. A run on an unreachable worker can be
+ * dropped only when its lease must have expired, seconds after the step should have ended. A speculative run need not
+ * wait for that.
  */
 export function planCopies(opts: CopyOptions): readonly Run[] {
-    const copies: Run[] = [];
+    const speculativeRuns: Run[] = [];
     for (const entry of opts.board.submissions.values()) {
-        if (entry.ending !== undefined || !hasSpeculation(entry.submission.steps)) {
+        if (entry.ending !== undefined || !hasSpeculativeStep(entry.submission.steps)) {
             continue;
         }
         for (const task of tasksOf(entry)) {
-            if (!isLate(task, opts)) {
+            if (!isStraggling(task, opts)) {
                 continue;
             }
-            const copy = placeCopy(task, opts.workersOf(opts.poolOf(entry.submission)), opts);
-            if (copy !== undefined) {
-                copies.push(copy);
+            const run = placeSpeculativeRun(task, opts.workersOf(opts.poolOf(entry.submission)), opts);
+            if (run !== undefined) {
+                speculativeRuns.push(run);
             }
         }
     }
-    return copies;
+    return speculativeRuns;
 }
 
-function hasSpeculation(steps: readonly Task["step"][]): boolean {
+function hasSpeculativeStep(steps: readonly Task["step"][]): boolean {
     return steps.some(({ isSpeculative }) => isSpeculative);
 }
 
-function isLate(task: Task, { estimates, nowMs }: CopyOptions): boolean {
+function isStraggling(task: Task, { estimates, nowMs }: CopyOptions): boolean {
     const [run] = task.runs;
     if (!task.step.isSpeculative || task.phase !== "waiting" || run === undefined || task.runs.length >= maxRuns) {
         return false;
     }
-    // A worker that this owner has not asked yet has not fallen silent either.
+    // A worker that this leader has not polled yet does not count as unreachable.
     if (run.worker.runList.kind === "read" && !run.worker.isReachable) {
         return true;
     }
     const tookMs = nowMs - (run.seenAtMs ?? run.plannedAtMs);
-    return run.phase === "running" && tookMs > earliestMs && tookMs > lateFactor * estimates.expectMs(task);
+    return run.phase === "running" && tookMs > minStragglerMs && tookMs > stragglerFactor * estimates.expectMs(task);
 }
 
-function placeCopy(task: Task, workers: readonly Worker[], { board, nowMs }: CopyOptions): Run | undefined {
+function placeSpeculativeRun(
+    task: Task,
+    workers: readonly Worker[],
+    { board: state, nowMs }: CopyOptions,
+): Run | undefined {
     const avoid = new Set(task.runs.map(({ worker }) => worker));
     const worker = placeTask(task, { workers, nowMs, avoid });
-    return worker === undefined ? undefined : addRun(board, task, worker, task.lastRun + 1, "recording", nowMs);
+    return worker === undefined ? undefined : addRun(state, task, worker, task.lastRun + 1, "recording", nowMs);
 }
--- a/src/schedule/planStarts.ts
+++ b/src/schedule/planStarts.ts
@@ -14,36 +14,42 @@
     readonly estimates: Estimates;
     readonly nowMs: number;
     readonly timeOfDayMs: number;
-    /** Workers that may run a unit's step; `undefined`: any. `"unknown"`: they have to be asked for first. */
+    /**
+     * Ids of the workers that may run a unit's step; `undefined`: all. `"unknown"`: the advice service has to be asked
+     * first.
+     */
     readonly allowedWorkers: (unit: Unit, workers: readonly Worker[]) => ReadonlySet<string> | "unknown" | undefined;
-    /** At most this many starts, so that one round of planning does not hold up everything else. */
+    /**
+     * Bound on the starts of one round, so that planning does not block other work of the process for long. The last
+     * unit of the round may exceed it.
+     */
     readonly maxStarts: number;
 }
 
-/** Tried placements without success, in one pool, after which the pool counts as full for this round. */
-const maxMisses = 40;
+/** A pool counts as full for the rest of the round after more failed placements than this. */
+const maxFailedPlacements = 40;
 
-/** Puts new runs on the board, in phase `recording`, best first, and returns them. */
+/** Adds runs for tasks that can start, in phase `recording`, in rank order, and returns them. */
 export function planStarts(opts: PlanOptions): readonly Run[] {
-    const { board, policy, estimates, nowMs } = opts;
+    const { board: state, policy, estimates, nowMs } = opts;
     const pools = new Map(
-        [...groupByPool(board)].map(([pool, workers]) => [pool, { workers, hole: findHole(workers) }]),
+        [...groupByPool(state)].map(([pool, workers]) => [pool, { workers, maxFree: findMaxFree(workers) }]),
     );
     const caps = new Map(policy.tenants.map(({ name, cap }) => [name, cap]));
-    const misses = new Map<string, number>();
-    const isWithinCap = ({ entry, tasks }: Unit) => {
+    const failedPlacements = new Map<string, number>();
+    const isWithinLimit = ({ entry, tasks }: Unit) => {
         const { tenant } = entry.submission;
         const size = tasks[0]?.step.size;
-        return size === undefined || hasTenantRoom(board, tenant, caps.get(tenant ?? ""), size, tasks.length);
+        return size === undefined || hasTenantRoom(state, tenant, caps.get(tenant ?? ""), size, tasks.length);
     };
-    const mayHaveMore = ({ submission: { tenant } }: SubmissionEntry, { size }: Step) =>
-        hasTenantRoom(board, tenant, caps.get(tenant ?? ""), size);
+    const mayRunMore = ({ submission: { tenant } }: SubmissionEntry, { size }: Step) =>
+        hasTenantRoom(state, tenant, caps.get(tenant ?? ""), size);
     const started: Run[] = [];
     const ranked = orderWork({
         entries: listPlaceable(
-            board,
-            (entry) => pools.get(routeOf(policy, entry.submission).service)?.hole,
-            mayHaveMore,
+            state,
+            (entry) => pools.get(routeOf(policy, entry.submission).service)?.maxFree,
+            mayRunMore,
         ),
         routeOf: (submission) => routeOf(policy, submission),
         estimates,
@@ -51,9 +57,10 @@
         timeOfDayMs: opts.timeOfDayMs,
     });
     for (const each of ranked) {
-        const { service } = each.route;
-        const pool = pools.get(service);
-        const isFull = () => started.length >= opts.maxStarts || (misses.get(service) ?? 0) > maxMisses;
+        const { service: poolName } = each.route;
+        const pool = pools.get(poolName);
+        const isFull = () =>
+            started.length >= opts.maxStarts || (failedPlacements.get(poolName) ?? 0) > maxFailedPlacements;
         if (pool === undefined || isFull()) {
             continue;
         }
@@ -61,12 +68,12 @@
             if (isFull()) {
                 break;
             }
-            if (!isWithinCap(unit)) {
+            if (!isWithinLimit(unit)) {
                 continue;
             }
-            const runs = fits(unit, pool.hole) ? placeUnit(unit, pool.workers, opts) : [];
+            const runs = fits(unit, pool.maxFree) ? placeUnit(unit, pool.workers, opts) : [];
             if (runs.length === 0) {
-                misses.set(service, (misses.get(service) ?? 0) + 1);
+                failedPlacements.set(poolName, (failedPlacements.get(poolName) ?? 0) + 1);
             }
             started.push(...runs);
         }
@@ -74,18 +81,19 @@
     return started;
 }
 
-/** The most that any one worker of a pool has free, each dimension by itself. */
-interface Hole {
+/** Maximum free capacity of any one worker of a pool, in each dimension separately. */
+interface MaxFree {
     readonly cpuMillis: number;
     readonly memoryMb: number;
     readonly accelerators: number;
 }
 
 /**
- * In a peak nearly every task that is tried finds no place. One look at the largest hole of the pool tells so; looking
- * at each of a few hundred workers for each of them took most of a round. Holes only shrink during a round.
+ * Finds the maximum free capacity in a pool. In a peak nearly every task that is tried can't be placed, and a
+ * comparison with the maximum is enough to tell. Checking a few hundred workers for each such task took most of a
+ * round. The maximum stays an upper bound, because free capacity only shrinks during a round.
  */
-function findHole(workers: readonly Worker[]): Hole {
+function findMaxFree(workers: readonly Worker[]): MaxFree {
     let [cpuMillis, memoryMb, accelerators] = [0, 0, 0];
     for (const worker of workers) {
         if (isOpen(worker)) {
@@ -98,37 +106,38 @@
     return { cpuMillis, memoryMb, accelerators };
 }
 
-function fits({ tasks }: Unit, hole: Hole): boolean {
-    return tasks.every(({ step }) => fitsStep(step, hole));
+function fits({ tasks }: Unit, maxFree: MaxFree): boolean {
+    return tasks.every(({ step }) => fitsStep(step, maxFree));
 }
 
-function fitsStep({ size, isFiller }: Step, hole: Hole): boolean {
-    return (isFiller || size.cpuMillis <= hole.cpuMillis) && size.memoryMb <= hole.memoryMb
-        && size.accelerators <= hole.accelerators;
+function fitsStep({ size, isFiller }: Step, maxFree: MaxFree): boolean {
+    return (isFiller || size.cpuMillis <= maxFree.cpuMillis) && size.memoryMb <= maxFree.memoryMb
+        && size.accelerators <= maxFree.accelerators;
 }
 
 /**
- * Submissions that have a step for which their pool may have a place, and which their client account may have running. In a
- * peak most wait for a full pool: an owner that ranks all of them in each round spends its time on finding that none of
- * them has a place.
+ * Submissions with a step that may fit into their pool and is within the limit of their client account. In a peak most
+ * submissions wait for a full pool. A leader that ranked all of them in each round would spend its time on finding that
+ * none can be placed.
  */
 function* listPlaceable(
     { submissions }: Board,
-    holeOf: (entry: SubmissionEntry) => Hole | undefined,
-    mayHaveMore: (entry: SubmissionEntry, step: Step) => boolean,
+    maxFreeOf: (entry: SubmissionEntry) => MaxFree | undefined,
+    mayRunMore: (entry: SubmissionEntry, step: Step) => boolean,
 ): Generator<SubmissionEntry> {
     for (const entry of submissions.values()) {
-        const hole = holeOf(entry);
-        const isPlaceable = (step: Step) => hole !== undefined && fitsStep(step, hole) && mayHaveMore(entry, step);
+        const maxFree = maxFreeOf(entry);
+        const isPlaceable = (step: Step) => maxFree !== undefined && fitsStep(step, maxFree) && mayRunMore(entry, step);
         if (entry.submission.steps.some(isPlaceable)) {
             yield entry;
         }
     }
 }
 
-export function groupByPool(board: Board): ReadonlyMap<string, Worker[]> {
+/** Workers by the name of their pool. */
+export function groupByPool(state: Board): ReadonlyMap<string, Worker[]> {
     const pools = new Map<string, Worker[]>();
-    for (const worker of board.workers.values()) {
+    for (const worker of state.workers.values()) {
         const pool = pools.get(worker.pool);
         if (pool === undefined) {
             pools.set(worker.pool, [worker]);
@@ -160,12 +169,14 @@
         if (runs.length === unit.tasks.length) {
             return runs;
         }
-        takeBack(opts.board, runs);
+        undoPlacements(opts.board, runs);
     }
     return [];
 }
 
-/** Groups of workers to try one after the other: single racks first where a unit runs slower across racks. */
+/**
+ * Groups of workers to try in order: first each single rack, if the unit runs slower across racks, then all workers.
+ */
 function listCandidates({ tasks }: Unit, workers: readonly Worker[]): readonly (readonly Worker[])[] {
     if (tasks[0]?.step.isSingleRack !== true || tasks.length < 2) {
         return [workers];
@@ -177,16 +188,20 @@
     return [...racks.values(), workers];
 }
 
-function takeBack(board: Board, runs: Run[]): void {
+/** Removes the runs of a unit that could not be placed whole. */
+function undoPlacements(state: Board, runs: Run[]): void {
     for (const run of runs.splice(0)) {
         const { waitingSinceMs, lastRun } = run.task;
-        removeRun(board, run, run.plannedAtMs);
+        removeRun(state, run, run.plannedAtMs);
         run.task.waitingSinceMs = waitingSinceMs;
         run.task.lastRun = Math.min(lastRun, run.number - 1);
     }
 }
 
-/** Workers that could run a step if they had room; for asking the advice service. */
+/**
+ * Workers that could run a unit's step if they had enough free capacity: the candidates to ask the advice service
+ * about.
+ */
 export function listAdviceCandidates({ tasks }: Unit, workers: readonly Worker[], nowMs: number): readonly Worker[] {
     const task = tasks[0];
     return task === undefined ? [] : workers.filter((worker) => isEligible(worker, task, { workers, nowMs }));
--- a/src/schedule/routeOf.ts
+++ b/src/schedule/routeOf.ts
@@ -1,35 +1,35 @@
 import type { Policy, Route } from "../policy";
 import type { Submission } from "../submissions";
 
-/** Attempts of a task whose queue is no longer configured. */
-const removedRouteAttempts = 2;
+/** Maximum number of attempts of a task whose queue is no longer configured. */
+const removedQueueMaxAttempts = 2;
 
-/** Stretch and latency target of a queue that is no longer configured: its submissions have no claim to go first. */
-const removedRouteStretch = 1;
+/** Stretch of a queue that is no longer configured. With a latency target of 0, its submissions get no precedence. */
+const removedQueueStretch = 1;
 
-/** Queues by name, for each configuration; one of a few thousand queues is looked up for each waiting submission. */
-const routesByName = new WeakMap<Policy, ReadonlyMap<string, Route>>();
+/** Queues by name, for each policy. Each waiting submission needs a lookup among up to a few thousand queues. */
+const queueIndexes = new WeakMap<Policy, ReadonlyMap<string, Route>>();
 
-function indexRoutes(policy: Policy): ReadonlyMap<string, Route> {
-    const index = routesByName.get(policy) ?? new Map(policy.routes.map((route) => [route.name, route]));
-    routesByName.set(policy, index);
+function indexQueues(policy: Policy): ReadonlyMap<string, Route> {
+    const index = queueIndexes.get(policy) ?? new Map(policy.routes.map((route) => [route.name, route]));
+    queueIndexes.set(policy, index);
     return index;
 }
 
 /**
- * The queue of a submission. One that operators have removed since still owes its accepted submissions their end: they
- * run in the pool that it had when they came.
+ * Configuration of a submission's queue. Submissions that were accepted before operators removed their queue still run
+ * to their end, in the pool that the queue had when they were accepted.
  */
 export function routeOf(policy: Policy, { route, service, tenant }: Submission): Route {
-    return indexRoutes(policy).get(route) ?? {
+    return indexQueues(policy).get(route) ?? {
         name: route,
         host: "",
         pathPrefix: "",
         service,
         isPublic: tenant === undefined,
         priority: Number.MAX_SAFE_INTEGER,
-        maxAttempts: removedRouteAttempts,
-        stretch: removedRouteStretch,
+        maxAttempts: removedQueueMaxAttempts,
+        stretch: removedQueueStretch,
         targetLatencyMs: 0,
         timeoutMs: 0,
         advice: undefined,
--- a/src/schedule/runs.ts
+++ b/src/schedule/runs.ts
@@ -1,8 +1,8 @@
 import type { Board, Run, RunPhase, Task, Worker } from "./board";
 
-/** Puts a run on the board; its room counts from now on. */
+/** Adds a run to the scheduler state and reserves its capacity. */
 export function addRun(
-    board: Board,
+    state: Board,
     task: Task,
     worker: Worker,
     number: number,
@@ -29,12 +29,12 @@
     task.lastRun = Math.max(task.lastRun, number);
     worker.runs.add(run);
     task.owner.zone = worker.zone || task.owner.zone;
-    count(board, run, 1);
+    updateUsage(state, run, 1);
     return run;
 }
 
-/** Takes a run off the board once nothing of it can run any more. */
-export function removeRun(board: Board, run: Run, nowMs: number): void {
+/** Removes a run that can't be running any more and releases its capacity. */
+export function removeRun(state: Board, run: Run, nowMs: number): void {
     if (!run.worker.runs.delete(run)) {
         return;
     }
@@ -42,24 +42,25 @@
     task.runs.splice(task.runs.indexOf(run), 1);
     task.waitingSinceMs = nowMs;
     run.worker.idleSinceMs = nowMs;
-    count(board, run, -1);
+    updateUsage(state, run, -1);
 }
 
-/** Puts a run on the record of a later life of its worker, which has not been sent its stop. */
-export function moveRun(board: Board, run: Run, worker: Worker, nowMs: number): void {
-    count(board, run, -1);
+/** Moves a run to a later incarnation of its worker. A stop request has to be sent again, to that incarnation. */
+export function moveRun(state: Board, run: Run, worker: Worker, nowMs: number): void {
+    updateUsage(state, run, -1);
     run.worker.runs.delete(run);
     run.worker = worker;
     worker.runs.add(run);
     worker.inheritedAtMs = nowMs;
-    count(board, run, 1);
+    updateUsage(state, run, 1);
     if (run.phase === "stopping") {
         run.isStopSent = false;
         run.answeredAtMs = Number.POSITIVE_INFINITY;
     }
 }
 
-function count(board: Board, { task, worker }: Run, sign: 1 | -1): void {
+/** Adds (`sign` 1) or removes (-1) a run's resources from the usage of its worker and its tenant. */
+function updateUsage(state: Board, { task, worker }: Run, sign: 1 | -1): void {
     const { size, isFiller } = task.step;
     const cpuMillis = isFiller ? 0 : size.cpuMillis;
     worker.used.cpuMillis += sign * cpuMillis;
@@ -69,9 +70,9 @@
     if (tenant === undefined) {
         return;
     }
-    const use = board.tenantUse.get(tenant) ?? { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
+    const use = state.tenantUse.get(tenant) ?? { cpuMillis: 0, memoryMb: 0, accelerators: 0 };
     use.cpuMillis += sign * size.cpuMillis;
     use.memoryMb += sign * size.memoryMb;
     use.accelerators += sign * size.accelerators;
-    board.tenantUse.set(tenant, use);
+    state.tenantUse.set(tenant, use);
 }
--- a/src/schedule/test/schedule.steps.ts
+++ b/src/schedule/test/schedule.steps.ts
@@ -21,7 +21,7 @@
 } from "../index";
 
 interface World {
-    board: Board;
+    state: Board;
     policy: Policy;
     entries: Map<string, SubmissionEntry>;
     nowMs: number;
@@ -30,14 +30,14 @@
 const timeOfDayMs = 1_000_000;
 
 Before(function(this: World) {
-    this.board = createBoard();
+    this.state = createBoard();
     this.policy = plainPolicy;
     this.entries = new Map();
     this.nowMs = 10_000;
 });
 
 function addWorker(world: World, cores: number): Worker {
-    const id = `worker-${world.board.workers.size + 1}`;
+    const id = `worker-${world.state.workers.size + 1}`;
     const worker: Worker = {
         ...createWorker(id, 1),
         address: id,
@@ -48,7 +48,7 @@
         isListed: true,
         runList: { kind: "read", firstReadAtMs: 0, askedAtMs: 0 },
     };
-    world.board.workers.set(id, worker);
+    world.state.workers.set(id, worker);
     return worker;
 }
 
@@ -63,14 +63,14 @@
         service: "stalls",
         acceptedAtMs: timeOfDayMs - ageMs,
     };
-    const entry = addSubmission(world.board, submission, 1, false, world.nowMs);
+    const entry = addSubmission(world.state, submission, 1, false, world.nowMs);
     addDueOccurrences(entry, timeOfDayMs, world.nowMs);
     world.entries.set(name, entry);
     return entry;
 }
 
 function workerOf(world: World, number: number): Worker {
-    const worker = world.board.workers.get(`worker-${number}`);
+    const worker = world.state.workers.get(`worker-${number}`);
     assert.ok(worker);
     return worker;
 }
@@ -86,7 +86,7 @@
 Given(
     "{int} worker(s) with {int} cores in each of {int} zones",
     function(this: World, count: number, cores: number, zones: number) {
-        // One zone after the other for each, as machines come to a pool from anywhere.
+        // Consecutive workers are in different zones, because machines of any zone may join a pool.
         for (let at = 0; at < count * zones; at++) {
             addWorker(this, cores).zone = `zone-${at % zones}`;
         }
@@ -104,11 +104,11 @@
 });
 
 Then("each zone holds tasks of at most {int} submissions", function(this: World, most: number) {
-    const held = new Map<string, Set<SubmissionEntry>>();
-    for (const { zone, runs } of this.board.workers.values()) {
-        runs.forEach(({ task }) => held.set(zone, (held.get(zone) ?? new Set()).add(task.owner)));
+    const entriesByZone = new Map<string, Set<SubmissionEntry>>();
+    for (const { zone, runs } of this.state.workers.values()) {
+        runs.forEach(({ task }) => entriesByZone.set(zone, (entriesByZone.get(zone) ?? new Set()).add(task.owner)));
     }
-    held.forEach((entries, zone) => assert.ok(entries.size <= most, `${zone}: ${entries.size}`));
+    entriesByZone.forEach((entries, zone) => assert.ok(entries.size <= most, `${zone}: ${entries.size}`));
 });
 
 When("a long-running submission {string} of {int} tasks comes", function(this: World, name: string, count: number) {
@@ -142,15 +142,18 @@
     },
 );
 
-Given("a submission {string} of {int} tasks that may have copies", function(this: World, name: string, count: number) {
-    submit(this, name, { count, isSpeculative: true });
-});
+Given(
+    "a submission {string} of {int} tasks that allow speculative runs",
+    function(this: World, name: string, count: number) {
+        submit(this, name, { count, isSpeculative: true });
+    },
+);
 
 Given("worker {int} runs a long-running task", function(this: World, number: number) {
     const entry = submit(this, "lasting", { isLongRunning: true });
     const [task] = [...tasksOf(entry)];
     assert.ok(task);
-    addRun(this.board, task, workerOf(this, number), 1, "running", this.nowMs);
+    addRun(this.state, task, workerOf(this, number), 1, "running", this.nowMs);
 });
 
 Given("tasks of {int} submission(s) have failed on worker {int}", function(this: World, count: number, number: number) {
@@ -162,20 +165,20 @@
 Then("with {int} submissions waiting for a full pool, {int} placement(s) is/are tried in a round", function(
     this: World,
     count: number,
-    tried: number,
+    expected: number,
 ) {
     Array.from({ length: count }, (_, at) => submit(this, `waiting-${at}`, { count: 8 }));
-    let tries = 0;
+    let attempts = 0;
     plan(this, () => {
-        tries++;
+        attempts++;
         return undefined;
     });
-    assert.equal(tries, tried);
+    assert.equal(attempts, expected);
 });
 
 function plan(world: World, allowedWorkers: () => undefined): void {
     planStarts({
-        board: world.board,
+        board: world.state,
         policy: world.policy,
         estimates: createEstimates(),
         nowMs: world.nowMs,
@@ -189,21 +192,21 @@
     plan(this, () => undefined);
 });
 
-When("{int} ms later copies are planned", function(this: World, ms: number) {
+When("{int} ms later speculative runs are planned", function(this: World, ms: number) {
     this.nowMs += ms;
-    for (const { runs } of this.board.workers.values()) {
+    for (const { runs } of this.state.workers.values()) {
         runs.forEach((run) => run.phase = "running");
     }
     planCopies({
-        board: this.board,
-        workersOf: (pool) => groupByPool(this.board).get(pool) ?? [],
+        board: this.state,
+        workersOf: (pool) => groupByPool(this.state).get(pool) ?? [],
         poolOf: () => "stalls",
         estimates: createEstimates(),
         nowMs: this.nowMs,
     });
 });
 
-When("worker {int} falls silent", function(this: World, number: number) {
+When("worker {int} becomes unreachable", function(this: World, number: number) {
     workerOf(this, number).isReachable = false;
 });
 
@@ -217,8 +220,8 @@
     assert.equal(workerOf(this, number).runs.size, 0);
 });
 
-Then("no worker has both copies of a task", function(this: World) {
-    for (const { runs } of this.board.workers.values()) {
+Then("no worker has two runs of a task", function(this: World) {
+    for (const { runs } of this.state.workers.values()) {
         const names = [...runs].map(({ task }) => task.name);
         assert.equal(new Set(names).size, names.length);
     }
--- a/src/schedule/test/workerLives.feature
+++ b/src/schedule/test/workerLives.feature
@@ -1,60 +1,60 @@
-Feature: One life of each worker is on the board
-
-    Scenario: a later life takes the place of an earlier one
-        Guards against runs on a record that nobody asks.
-
-        Given the life of 1000 is on the board
-        When the life of 2000 is told of
-        Then the board has the life of 2000 alone
-        And the life of 1000 has ended
-
-    Scenario: an earlier life is told of late
-        Guards against an old entry that ends the life that runs.
-
-        Given the life of 2000 is on the board
-        When the life of 1000 is told of
-        Then the board has the life of 2000 alone
-        And no life has ended
-
-    Scenario: an order to the earlier life may have been carried out by the later one
-        Guards against a task that starts elsewhere while the later life runs it.
-
-        Given the life of 1000 is on the board
-        And a run there that is "running"
-        When the life of 2000 is told of
-        Then the run is on the life of 2000
-
-    Scenario: a list of the earlier life has shown the run
-        Guards against a task that waits for the list of a life that never had it.
-
-        Given the life of 1000 is on the board
-        And a run there that is "running"
-        And a list has shown the run
-        When the life of 2000 is told of
-        Then the run is on the life of 1000
-
-    Scenario: the order has not left when a later life is told of
-        Guards against an order that reaches a worker of another kind.
-
-        Given the life of 1000 is on the board
-        And a run there that is "recording"
-        When the life of 2000 is told of
-        Then the run is on the life of 1000
-
-    Scenario: a stop that the earlier life has answered
-        Guards against a run of the later life that is never told to stop.
-
-        Given the life of 1000 is on the board
-        And a run there that is "stopping"
-        And its stop has been answered
-        When the life of 2000 is told of
-        Then the run is on the life of 2000
-        And its stop has to be sent
-
-    Scenario: a record is removed whose place another one has taken
-        Guards against a live worker that is taken off the board by its id.
-
-        Given the life of 1000 is on the board
-        And the life of 2000 is told of
-        When the record of the life of 1000 is removed
-        Then the board has the life of 2000 alone
+Feature: The scheduler state has one incarnation of each worker
+
+    Scenario: a later incarnation replaces an earlier one
+        Guards against runs that stay on an incarnation that is no longer polled.
+
+        Given the state has the incarnation started at 1000
+        When the incarnation started at 2000 is reported
+        Then the state has only the incarnation started at 2000
+        And the incarnation started at 1000 has ended
+
+    Scenario: an earlier incarnation is reported late
+        Guards against an outdated registration that ends the current incarnation.
+
+        Given the state has the incarnation started at 2000
+        When the incarnation started at 1000 is reported
+        Then the state has only the incarnation started at 2000
+        And no incarnation has ended
+
+    Scenario: the later incarnation may have executed a start request that was sent to the earlier one
+        Guards against a task that starts elsewhere while the later incarnation runs it.
+
+        Given the state has the incarnation started at 1000
+        And it has a run that is "running"
+        When the incarnation started at 2000 is reported
+        Then the run is on the incarnation started at 2000
+
+    Scenario: a run list of the earlier incarnation contained the run
+        Guards against a task that waits for the run list of an incarnation that never had its run.
+
+        Given the state has the incarnation started at 1000
+        And it has a run that is "running"
+        And a run list has contained the run
+        When the incarnation started at 2000 is reported
+        Then the run is on the incarnation started at 1000
+
+    Scenario: the start request has not been sent when a later incarnation is reported
+        Guards against a start request to an incarnation with other properties than the one that the task was placed on.
+
+        Given the state has the incarnation started at 1000
+        And it has a run that is "recording"
+        When the incarnation started at 2000 is reported
+        Then the run is on the incarnation started at 1000
+
+    Scenario: the earlier incarnation has answered a stop request
+        Guards against a run on the later incarnation that never gets a stop request.
+
+        Given the state has the incarnation started at 1000
+        And it has a run that is "stopping"
+        And the stop request has been answered
+        When the incarnation started at 2000 is reported
+        Then the run is on the incarnation started at 2000
+        And the stop request has to be sent again
+
+    Scenario: an incarnation is removed after a later one has replaced it
+        Guards against the removal of the live incarnation, which has the same id.
+
+        Given the state has the incarnation started at 1000
+        And the incarnation started at 2000 is reported
+        When the incarnation started at 1000 is removed
+        Then the state has only the incarnation started at 2000
--- a/src/schedule/workerHealth.ts
+++ b/src/schedule/workerHealth.ts
@@ -1,24 +1,27 @@
 import type { Task, Worker, WorkerOutcomes } from "./board";
 
-/** Submissions that have to fail on a worker, none succeeding, before the worker itself is suspected. */
+/** Number of submissions that have to fail on a worker, with no success between them, until the worker is suspect. */
 const suspectAfterSubmissions = 2;
 
-/** A suspected worker gets one task to show itself sound each time after this pause, in milliseconds. */
-const probePauseMs = 1500;
+/** Time since its last failure after which a suspect worker gets one task as a probe, in milliseconds. */
+const probeIntervalMs = 1500;
 
-/** A success this recent proves a worker sound for a task's last attempt, in milliseconds. */
-const provenMs = 5000;
+/** A success at most this old proves a worker healthy for a task that has failed before, in milliseconds. */
+const successValidMs = 5000;
 
 /**
- * A task that has failed waits this long for a worker that is surely sound, in milliseconds. Then one that has not failed
- * anything meanwhile will do: where every worker has failed something and no fresh task comes, none is ever proven.
+ * Time since its last failure after which an unproven worker may run a task that has failed before, in milliseconds.
+ * Without this, where every worker has had a failure and no new task comes, no worker would ever be proven healthy
+ * again.
  */
-const doubtMs = 2000;
+const failureMemoryMs = 2000;
 
+/** Outcomes of a worker on which nothing has ended yet. */
 export function createOutcomes(): WorkerOutcomes {
     return { failedSubmissions: new Set(), lastSuccessAtMs: 0, lastFailureAtMs: 0, quarantinedUntilMs: 0 };
 }
 
+/** Records a run that ended as done. The worker is neither suspect nor quarantined any more. */
 export function noteSuccess({ outcomes }: Worker, nowMs: number): void {
     outcomes.failedSubmissions.clear();
     outcomes.lastSuccessAtMs = nowMs;
@@ -26,42 +29,52 @@
 }
 
 /**
- * A worker that fails all it starts is free again at once, draws ever more work, and eats the attempts of every task in
- * its pool within seconds. One failed submission says nothing (its tasks may always fail); two different ones without a
- * success between them make the worker suspect.
+ * Records a failed run. A worker on which every run fails is free again at once, attracts more and more work, and uses
+ * up the attempts of every task in its pool within seconds. One failed submission is no evidence, because its tasks may
+ * always fail. Two different ones with no success between them make the worker suspect.
  */
 export function noteFailure({ outcomes }: Worker, submission: string, nowMs: number): void {
     outcomes.failedSubmissions.add(submission);
     outcomes.lastFailureAtMs = nowMs;
 }
 
-/** Gives the worker no new work for a while: what runs there does not move on. */
+/**
+ * Keeps new work off a worker whose runs make no progress.
+ *
+ * @param untilMs end of the quarantine, on the monotonic clock
+ */
 export function quarantine({ outcomes }: Worker, untilMs: number): void {
     outcomes.quarantinedUntilMs = untilMs;
 }
 
+/** Whether the recent failures point to the worker and not to the tasks. */
 export function isSuspect({ outcomes }: Worker): boolean {
     return outcomes.failedSubmissions.size >= suspectAfterSubmissions;
 }
 
-/** Whether a task may be risked on a worker. */
+/** Whether a worker is healthy enough for a task, given the earlier failures of both. */
 export function isSound(worker: Worker, task: Task, nowMs: number): boolean {
     const { outcomes } = worker;
     if (nowMs < outcomes.quarantinedUntilMs) {
         return false;
     }
     const sinceFailureMs = nowMs - outcomes.lastFailureAtMs;
-    const mayTakeFailed = sinceFailureMs > doubtMs;
+    const mayRetryFailed = sinceFailureMs > failureMemoryMs;
     if (isSuspect(worker)) {
-        const isProbeDue = sinceFailureMs > probePauseMs && !hasProbe(worker, nowMs);
-        return isProbeDue && (task.failedRuns.size === 0 || mayTakeFailed);
+        const isProbeDue = sinceFailureMs > probeIntervalMs && !hasProbe(worker, nowMs);
+        return isProbeDue && (task.failedRuns.size === 0 || mayRetryFailed);
     }
-    // A task that has failed goes where others have just succeeded, if it failed elsewhere.
-    const isDoubtful = outcomes.failedSubmissions.size > 0 && nowMs - outcomes.lastSuccessAtMs > provenMs;
-    return task.failedRuns.size === 0 || mayTakeFailed || !isDoubtful;
+    // A task that has failed before goes to a worker with a recent success or without failures.
+    const isUnproven = outcomes.failedSubmissions.size > 0 && nowMs - outcomes.lastSuccessAtMs > successValidMs;
+    return task.failedRuns.size === 0 || mayRetryFailed || !isUnproven;
 }
 
-/** Whether a run may still show a worker to be sound. One that lasts never ends as done, so it shows so by running on. */
+/**
+ * Whether a run on the worker may still prove it healthy. A long-running task never ends as done, so it proves the
+ * worker healthy by running for `failureMemoryMs`.
+ */
 function hasProbe({ runs }: Worker, nowMs: number): boolean {
-    return [...runs].some(({ task, plannedAtMs }) => !task.step.isLongRunning || nowMs - plannedAtMs <= doubtMs);
+    return [...runs].some(({ task, plannedAtMs }) =>
+        !task.step.isLongRunning || nowMs - plannedAtMs <= failureMemoryMs
+    );
 }
--- a/src/schedule/workerLives.ts
+++ b/src/schedule/workerLives.ts
@@ -2,63 +2,65 @@
 import { createWorker } from "./createWorker";
 import { moveRun } from "./runs";
 
-/** Is given the record of a life that another one has taken the place of, with what ran there. */
+/** Called with an incarnation that a later one has replaced, and with the runs that stay on it. */
 export type LifeEnded = (earlier: Worker) => void;
 
-/** Whether a record is the one that the board has under its worker's id. */
-export function isOnBoard(board: Board, worker: Worker): boolean {
-    return board.workers.get(worker.id) === worker;
+/** Whether the scheduler state has this incarnation under its worker's id. */
+export function isOnBoard(state: Board, worker: Worker): boolean {
+    return state.workers.get(worker.id) === worker;
 }
 
 /**
- * The record of a life, or of a later one where that is known. A life ends before the next one under its id begins, so the
- * board has one life of each id: the latest that a record, an entry or a list tells of.
+ * Returns the incarnation of a worker that started at `bornMs`, or a later one if that is known; adds it if necessary.
+ * An incarnation ends before the next one with its id starts, so the state has one for each id: the latest that a
+ * progress record, a registration or a run list has named.
  */
 export function takeLife(
-    board: Board,
+    state: Board,
     id: string,
     bornMs: number,
     nowMs: number,
-    onLifeEnded: LifeEnded,
+    onIncarnationEnded: LifeEnded,
 ): Worker {
-    const known = board.workers.get(id);
+    const known = state.workers.get(id);
     if (known === undefined) {
         const worker = createWorker(id, bornMs);
-        board.workers.set(id, worker);
+        state.workers.set(id, worker);
         return worker;
     }
-    return known.bornMs < bornMs ? replaceLife(board, known, bornMs, nowMs, onLifeEnded) : known;
+    return known.bornMs < bornMs ? replaceLife(state, known, bornMs, nowMs, onIncarnationEnded) : known;
 }
 
 /**
- * Puts a later life in the place of the one that the board has.
+ * Replaces the known incarnation of a worker with a later one.
  *
- * An order that was sent to one life may have been carried out by the next, which answers under the same id and address, and
- * the answer does not tell them apart; lists do. So a run that no list of the earlier life has shown goes to the later one,
- * whose lists settle it. Given up instead, its task would start elsewhere while it runs there.
+ * A start request that was sent to one incarnation may have been executed by the next one, which has the same id and
+ * address. The answer does not tell which of them executed it; a run list does. So a run that no run list of the
+ * earlier incarnation contained is moved to the later one, whose run lists decide. If it were dropped instead, its task
+ * could start elsewhere while it still runs there.
  */
 export function replaceLife(
-    board: Board,
+    state: Board,
     earlier: Worker,
     bornMs: number,
     nowMs: number,
-    onLifeEnded: LifeEnded,
+    onIncarnationEnded: LifeEnded,
 ): Worker {
     const worker = createWorker(earlier.id, bornMs);
     worker.address = earlier.address;
-    board.workers.set(worker.id, worker);
+    state.workers.set(worker.id, worker);
     for (const run of [...earlier.runs]) {
         if (run.phase !== "recording" && run.seenAtMs === undefined) {
-            moveRun(board, run, worker, nowMs);
+            moveRun(state, run, worker, nowMs);
         }
     }
-    onLifeEnded(earlier);
+    onIncarnationEnded(earlier);
     return worker;
 }
 
-/** Takes a record off the board; another one under the same id stays. */
-export function removeWorker(board: Board, worker: Worker): void {
-    if (isOnBoard(board, worker)) {
-        board.workers.delete(worker.id);
+/** Removes an incarnation from the scheduler state; a different one with the same id stays. */
+export function removeWorker(state: Board, worker: Worker): void {
+    if (isOnBoard(state, worker)) {
+        state.workers.delete(worker.id);
     }
 }
