--- a/bench/configuration/createTestFleet.ts
+++ b/bench/configuration/createTestFleet.ts
@@ -2,7 +2,7 @@
 import { type Configuration, createConfiguration } from "../../src/configuration";
 import type { LogEvent } from "../../src/logging";
 import { createMembers } from "../../src/members";
-import { createWatcher, type Platform, type Watcher } from "../../src/platform";
+import { createKeyWatcher, type KeyWatcher, type Platform } from "../../src/platform";
 import { createFakeNetwork, createFakePlatform } from "../../standins/fakes";
 
 /** Small bounds, so that short schedules cut the log many times. */
@@ -13,7 +13,7 @@
 export interface TestEntry {
     readonly boot: string;
     readonly configuration: Configuration;
-    readonly watcher: Watcher;
+    readonly watcher: KeyWatcher;
     readonly events: LogEvent[];
     /** Every revision that was in force here, in order. */
     readonly revisions: number[];
@@ -58,7 +58,7 @@
         platform.instances.set(instance, "live");
         const peers = network.connect({ boot, instance, region: "north", zone, peerUrl: `ws://${instance}` });
         const client = wrap(connectPausable(boot));
-        const watcher = createWatcher({ platform: client, watchMs: 20_000, retryMs: 200 });
+        const watcher = createKeyWatcher({ platform: client, watchMs: 20_000, retryMs: 200 });
         const events: LogEvent[] = [];
         const report = (event: LogEvent) => void events.push(event);
         const members = createMembers({ platform: client, watcher, peers, retryMs: 200, report, random });
--- a/bench/configuration/measureMesh.ts
+++ b/bench/configuration/measureMesh.ts
@@ -2,7 +2,7 @@
 import { type Configuration, createConfiguration } from "../../src/configuration";
 import { createMembers } from "../../src/members";
 import { createPeers } from "../../src/peers";
-import { createWatcher } from "../../src/platform";
+import { createKeyWatcher } from "../../src/platform";
 import { createFakePlatform } from "../../standins/fakes";
 import { findFreePort } from "../../standins/processes";
 import { round } from "./measureState";
@@ -30,7 +30,7 @@
             silenceMs: 4000,
         });
         const client = platform.connect(`boot-${at}`);
-        const watcher = createWatcher({ platform: client, watchMs: 20_000, retryMs: 200 });
+        const watcher = createKeyWatcher({ platform: client, watchMs: 20_000, retryMs: 200 });
         const members = createMembers({ platform: client, watcher, peers, retryMs: 200 });
         const configuration = createConfiguration({ platform: client, watcher, peers, members });
         platform.instances.set(`entry-${at}`, "live");
--- a/bench/limits/limitsWorld.ts
+++ b/bench/limits/limitsWorld.ts
@@ -150,16 +150,16 @@
         const isSilent = (boot: string) => boot !== peer.boot && !peers.connected().some((each) => each.boot === boot);
         return {
             recorded: () => [...recorded.values()].map((each) => ({ ...each, listed: true })),
-            proveGone: (boots) => Promise.resolve(new Set(boots.filter((boot) => !recorded.has(boot)))),
+            proveEnded: (boots) => Promise.resolve(new Set(boots.filter((boot) => !recorded.has(boot)))),
             instances: () => undefined,
             instancesAgeMs: () => undefined,
             refresh: () => Promise.resolve(true),
-            isGone: (boot) =>
+            hasEnded: (boot) =>
                 seen.has(boot) && !recorded.has(boot)
                 || opts.defect === "silentCountsAsGone" && isSilent(boot),
             onChange: () => () => {},
             start() {},
-            entered: () => Promise.resolve(true),
+            waitUntilRecorded: () => Promise.resolve(true),
             stop: () => Promise.resolve(),
         };
     }
--- a/bench/model/simulateFleet.ts
+++ b/bench/model/simulateFleet.ts
@@ -1,15 +1,15 @@
 import { chooseMoves, createDemandMeter, type IdleMachine } from "../../src/machines";
 import type { Policy } from "../../src/policy";
 import {
+    acceptsNewWork,
     addOccurrence,
     addSubmission,
-    createBoard,
-    createEstimates,
+    createDurationEstimates,
+    createSchedulerState,
     createWorker,
+    estimateRemaining,
     findTask,
     isComplete,
-    isOpen,
-    lookAhead,
     planStarts,
     removeRun,
     removeWorker,
@@ -59,8 +59,8 @@
  * machines with fixed delays. Nothing fails in it; it compares decisions, and the bench has the last word.
  */
 export function simulateFleet(fleet: ModelFleet, seed: number): ModelResult {
-    const board = createBoard();
-    const estimates = createEstimates();
+    const state = createSchedulerState();
+    const estimates = createDurationEstimates();
     const joinMs = fleet.moveMs + joinOverheadMs;
     const meter = createDemandMeter(joinMs);
     const policy = createPolicy(fleet);
@@ -68,7 +68,7 @@
     const machines = createMachines(fleet);
     let nowMs = 0;
     const consolidator = createConsolidator({
-        board,
+        board: state,
         clocks: { steadyMs: () => nowMs, suspendAwareMs: () => nowMs },
         maxStopMs,
         stop(run) {
@@ -86,19 +86,19 @@
     let isDue = true;
 
     function take(arrival: ModelSubmission, nowMs: number): void {
-        const entry = addSubmission(board, arrival.submission, 1, false, nowMs);
+        const entry = addSubmission(state, arrival.submission, 1, false, nowMs);
         known.set(arrival.submission.id, arrival);
         addOccurrence(entry, nowMs);
-        const { workCoreMs, chainMs } = lookAhead(entry, estimates, nowMs);
+        const { workCoreMs, criticalPathMs: chainMs } = estimateRemaining(entry, estimates, nowMs);
         if (workCoreMs > 0) {
-            const work = { cpuMillis: 1000 * workCoreMs / Math.max(1, chainMs), stayMs: chainMs };
-            meter.note(arrival.submission.service, work, nowMs);
+            const work = { cpuMillis: 1000 * workCoreMs / Math.max(1, chainMs), minDurationMs: chainMs };
+            meter.recordArrival(arrival.submission.service, work, nowMs);
         }
     }
 
     function begin(run: Run, nowMs: number): void {
         const { task } = run;
-        const trueMs = known.get(task.owner.submission.id)?.taskMs[task.stepNumber]?.[task.index] ?? 0;
+        const trueMs = known.get(task.entry.submission.id)?.taskMs[task.stepNumber]?.[task.index] ?? 0;
         const isRemote = task.step.dataRack !== undefined && run.worker.rack !== task.step.dataRack;
         const tookMs = trueMs * (isRemote ? fleet.remoteFactor : 1);
         run.phase = "running";
@@ -112,23 +112,23 @@
 
     function end({ run }: Ending, nowMs: number): void {
         const { task } = run;
-        if (findTask(board, task.name) !== task) {
+        if (findTask(state, task.name) !== task) {
             return;
         }
         if (run.phase === "stopping") {
-            removeRun(board, run, nowMs);
+            removeRun(state, run, nowMs);
             return;
         }
-        estimates.learn(task.owner.submission.route, task.step.estimateMs, nowMs - run.plannedAtMs);
-        removeRun(board, run, nowMs);
+        estimates.recordDuration(task.entry.submission.route, task.step.estimateMs, nowMs - run.plannedAtMs);
+        removeRun(state, run, nowMs);
         task.phase = "done";
-        finish(task.owner, nowMs);
+        finish(task.entry, nowMs);
     }
 
     function finish(entry: SubmissionEntry, nowMs: number): void {
         if (isComplete(entry)) {
             completedAtMs.set(entry.submission.id, nowMs);
-            board.submissions.delete(entry.submission.id);
+            state.submissions.delete(entry.submission.id);
         }
     }
 
@@ -136,14 +136,14 @@
         machine.joinsAtMs = Number.POSITIVE_INFINITY;
         if (machine.pool !== standbyPool) {
             machine.worker = addWorker(machine, fleet, nowMs);
-            board.workers.set(machine.worker.id, machine.worker);
+            state.workers.set(machine.worker.id, machine.worker);
         }
     }
 
     function listIdle(nowMs: number): readonly IdleMachine[] {
         return machines.filter(({ joinsAtMs, pool, worker }) =>
             joinsAtMs === Number.POSITIVE_INFINITY
-            && (pool === standbyPool || (worker !== undefined && isOpen(worker) && worker.runs.size === 0))
+            && (pool === standbyPool || (worker !== undefined && acceptsNewWork(worker) && worker.runs.size === 0))
         ).map(({ id, pool, worker }) => ({
             id,
             pool,
@@ -155,7 +155,7 @@
 
     function decide(nowMs: number): void {
         const pools = measureDemand({
-            board,
+            board: state,
             policy,
             estimates,
             meter,
@@ -167,7 +167,9 @@
                     .length * fleet.cores * 1000,
         });
         consolidator.decide(pools);
-        for (const move of chooseMoves({ pools, idle: listIdle(nowMs), impossible: new Set(), maxMoves: mostMoves })) {
+        for (
+            const move of chooseMoves({ pools, idle: listIdle(nowMs), impossibleMoves: new Set(), maxMoves: mostMoves })
+        ) {
             const machine = machines.find(({ id }) => id === move.machine);
             if (machine !== undefined) {
                 send(machine, move.to, nowMs);
@@ -178,8 +180,8 @@
     function send(machine: ModelMachine, pool: string, nowMs: number): void {
         moves++;
         if (machine.worker !== undefined) {
-            removeWorker(board, machine.worker);
-            board.workers.delete(machine.worker.id);
+            removeWorker(state, machine.worker);
+            state.workers.delete(machine.worker.id);
         }
         Object.assign(machine, { pool, worker: undefined, joinsAtMs: nowMs + joinMs - decideMs / 2 });
     }
@@ -203,7 +205,7 @@
             }
         }
         if (isDue) {
-            const options = { board, policy, estimates, nowMs, timeOfDayMs: nowMs, maxStarts: 200 };
+            const options = { state, policy, estimates, nowMs, timeOfDayMs: nowMs, maxStarts: 200 };
             planStarts({ ...options, allowedWorkers: () => undefined }).forEach((run) => begin(run, nowMs));
             isDue = false;
         }
@@ -225,8 +227,8 @@
         [name, { name, rejectsOverload: false, isStandby, maxConnections: 64 }] as const;
     return {
         version: 1,
-        routes: names.map((name) => ({ ...plainRoute, name, service: name, pathPrefix: `/${name}/` })),
-        services: new Map([...names.map((name) => service(name, false)), service(standbyPool, true)]),
+        queues: names.map((name) => ({ ...plainRoute, name, service: name, pathPrefix: `/${name}/` })),
+        pools: new Map([...names.map((name) => service(name, false)), service(standbyPool, true)]),
         tenants: createTenants(fleet),
         limits: { maxHeaderBytes: 16_384, maxBodyBytes: 262_144, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 },
     };
@@ -268,7 +270,7 @@
         rack: machine.rack,
         labels: ["a", machine.rack],
         capacity: { cpuMillis: cores * 1000, memoryMb: cores * 4000, accelerators: 0 },
-        isListed: true,
+        isRegistered: true,
         runList: { kind: "read" as const, firstReadAtMs: nowMs, askedAtMs: nowMs },
         idleSinceMs: nowMs,
     });
--- a/bench/planning/createBusyBoard.ts
+++ b/bench/planning/createBusyBoard.ts
@@ -1,10 +1,16 @@
 import type { Policy } from "../../src/policy";
-import { addDueOccurrences, addSubmission, type Board, createBoard, createWorker } from "../../src/schedule";
+import {
+    addDueOccurrences,
+    addSubmission,
+    createSchedulerState,
+    createWorker,
+    type SchedulerState,
+} from "../../src/schedule";
 import { createRandom } from "../../standins/random";
 import { plainPolicy, plainRoute, plainStep } from "../../standins/scheduling";
 
 export interface BusyFleet {
-    readonly board: Board;
+    readonly board: SchedulerState;
     readonly policy: Policy;
 }
 
@@ -26,7 +32,7 @@
  */
 export function createBusyBoard(workers: number, waiting: number, freeWorkers: number, seed: number): BusyFleet {
     const random = createRandom(seed);
-    const board = createBoard();
+    const board = createSchedulerState();
     const pools = Array.from({ length: poolCount }, (_, at) => `pool-${at}`);
     for (let at = 0; at < workers; at++) {
         const pool = at % poolCount;
@@ -38,7 +44,7 @@
             zone: `zone-${at % 3}`,
             capacity: { cpuMillis: capacityMillis, memoryMb: 64_000, accelerators: 0 },
             used: { cpuMillis: isFree ? 0 : capacityMillis - leftMillis, memoryMb: 0, accelerators: 0 },
-            isListed: true,
+            isRegistered: true,
             runList: { kind: "read", firstReadAtMs: 0, askedAtMs: 0 },
         });
     }
@@ -58,5 +64,5 @@
         addDueOccurrences(addSubmission(board, submission, 1, false, 0), 0, 0);
     }
     const routes = pools.map((service, at) => ({ ...plainRoute, name: `route-${at}`, service }));
-    return { board, policy: { ...plainPolicy, routes } };
+    return { board, policy: { ...plainPolicy, queues: routes } };
 }
--- a/bench/planning/planningExperiment.ts
+++ b/bench/planning/planningExperiment.ts
@@ -1,4 +1,4 @@
-import { createEstimates, planStarts, removeRun } from "../../src/schedule";
+import { createDurationEstimates, planStarts, removeRun } from "../../src/schedule";
 import type { Experiment, ExperimentRow } from "../experiment";
 import { createBusyBoard } from "./createBusyBoard";
 
@@ -44,14 +44,14 @@
 
 function measureRounds(load: Load, count: number, seed: number) {
     const { board, policy } = createBusyBoard(load.workers, load.waiting, load.freeWorkers, seed);
-    const estimates = createEstimates();
+    const estimates = createDurationEstimates();
     let starts = 0;
     let tookMs = 0;
     for (let round = -warmUpRounds; round < count; round++) {
         const nowMs = (round + warmUpRounds) * roundMs;
         const beganAtMs = performance.now();
         const started = planStarts({
-            board,
+            state: board,
             policy,
             estimates,
             nowMs,
--- a/soak/createWorld.ts
+++ b/soak/createWorld.ts
@@ -1,7 +1,7 @@
 import { mkdtempSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { type DutyHolder, dutyKey } from "../src/duties";
+import { leaderKey, type LeaderRecord } from "../src/duties";
 import { createSchedulingWorld, plainPolicy, type SchedulingWorld } from "../standins/scheduling";
 import {
     encodePolicy,
@@ -114,8 +114,8 @@
         toWorkers,
         folder,
         findOwner() {
-            const item = platform.store.get(dutyKey);
-            return item === undefined ? undefined : (JSON.parse(item.text) as DutyHolder).instance;
+            const item = platform.store.get(leaderKey);
+            return item === undefined ? undefined : (JSON.parse(item.text) as LeaderRecord).instance;
         },
         revokeKey(key) {
             policy = {
--- a/src/advice/advice.ts
+++ b/src/advice/adviceClient.ts
@@ -11,6 +11,6 @@
     | { readonly kind: "noAnswer"; readonly detail: string; };
 
 /** Client of the service that decides which workers may run a step under its queue's policy. */
-export interface Advice {
+export interface AdviceClient {
     ask(step: string, workerIds: readonly string[]): Promise<AdviceResult>;
 }
--- a/src/advice/createAdvisor.ts
+++ b/src/advice/createPermitCache.ts
@@ -1,27 +1,27 @@
 import { pause } from "../clock";
 import type { Reporter } from "../logging";
-import type { Advice, AdviceResult } from "./advice";
+import type { AdviceClient, AdviceResult } from "./adviceClient";
 
-export interface AdvisorOptions {
-    readonly advice: Advice;
+export interface PermitCacheOptions {
+    readonly advice: AdviceClient;
     readonly steadyMs: () => number;
     readonly report: Reporter;
     /** Called when new permits have arrived. */
     onChange(): void;
 }
 
-export interface Advisor {
+export interface PermitCache {
     /**
      * Returns the ids of the workers that may run a step now. Returns `undefined` while no valid permits are known, and
      * then requests them.
      *
      * @param candidates ids of the workers that could run the step apart from permits
      */
-    allowed(step: string, candidates: readonly string[]): ReadonlySet<string> | undefined;
+    allowedWorkers(step: string, candidates: readonly string[]): ReadonlySet<string> | undefined;
     /** Returns the ticket for a start, or `undefined` if no valid one is permitsByStep. */
     ticket(step: string, workerId: string): string | undefined;
     /** Drops the permits of a finished step. */
-    forget(step: string): void;
+    forgetStep(step: string): void;
 }
 
 /** Workers named in one request. Each worker costs time, and a step rarely needs more. */
@@ -39,7 +39,7 @@
 }
 
 /** Requests permits one at a time, because the service answers callers in turn, and caches them while they are valid. */
-export function createAdvisor(opts: AdvisorOptions): Advisor {
+export function createPermitCache(opts: PermitCacheOptions): PermitCache {
     const permitsByStep = new Map<string, StepPermits>();
     const candidatesByStep = new Map<string, readonly string[]>();
     let isRequesting = false;
@@ -77,7 +77,7 @@
     }
 
     return {
-        allowed(step, candidates) {
+        allowedWorkers(step, candidates) {
             const permits = findValid(step);
             if (permits === undefined && candidates.length > 0 && !candidatesByStep.has(step)) {
                 candidatesByStep.set(step, candidates.slice(0, maxCandidates));
@@ -86,6 +86,6 @@
             return permits === undefined ? undefined : new Set(permits.tickets.keys());
         },
         ticket: (step, workerId) => findValid(step)?.tickets.get(workerId),
-        forget: (step) => void permitsByStep.delete(step),
+        forgetStep: (step) => void permitsByStep.delete(step),
     };
 }
--- a/src/advice/index.ts
+++ b/src/advice/index.ts
@@ -1,3 +1,3 @@
 /** Placement permits for queues whose steps may run only on workers that an external service allows. */
-export type { Advice, AdviceResult, Permit } from "./advice";
-export { type Advisor, createAdvisor } from "./createAdvisor";
+export type { AdviceClient, AdviceResult, Permit } from "./adviceClient";
+export { createPermitCache, type PermitCache } from "./createPermitCache";
--- a/src/callers/createTaskFinder.ts
+++ b/src/callers/createTaskFinder.ts
@@ -83,7 +83,7 @@
     }
 
     async function findAt(boot: string, question: TaskQuestion): Promise<TaskStatus | Problem> {
-        if (members.isGone(boot)) {
+        if (members.hasEnded(boot)) {
             return lost("the entry that took the task has ended, and its results with it");
         }
         const answer = await peers.request(boot, topic, question, question.waitMs + wayMs);
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -2,7 +2,7 @@
 import type { Reporter } from "../logging";
 import type { Members } from "../members";
 import type { Peers } from "../peers";
-import type { Platform, Watcher } from "../platform";
+import type { KeyWatcher, Platform } from "../platform";
 import type { Command, FleetState } from "../state";
 import type { LogBounds } from "./logValue";
 
@@ -20,7 +20,7 @@
 
 export interface ConfigurationOptions {
     readonly platform: Platform;
-    readonly watcher: Watcher;
+    readonly watcher: KeyWatcher;
     /** Without peers, the platform is the only source. */
     readonly peers?: Peers;
     /** Without members, only connected peers count for `inForce`. */
--- a/src/configuration/createConfiguration.ts
+++ b/src/configuration/createConfiguration.ts
@@ -60,7 +60,7 @@
         onHeard: () => heardListeners.forEach((listener) => listener()),
     });
 
-    watcher.follow(logKey, follow, (stored) => {
+    watcher.subscribe(logKey, follow, (stored) => {
         report({ kind: "platformWentBack", key: logKey });
         follow(stored);
         appender.restore();
--- a/src/configuration/test/configuration.steps.ts
+++ b/src/configuration/test/configuration.steps.ts
@@ -219,7 +219,7 @@
     await addAll(this, entry(this, 1), 1, "first");
     const { text } = storedLog(this);
     await addAll(this, entry(this, 1), 2, "later");
-    this.fleet.entries.forEach(({ watcher }) => watcher.learn(logKey, { text, revision: 99 }));
+    this.fleet.entries.forEach(({ watcher }) => watcher.observe(logKey, { text, revision: 99 }));
     await this.clock.tickAsync(1000);
 });
 
@@ -281,7 +281,7 @@
     }
     const text = other.platform.values.get(logKey)?.text ?? "";
     other.stop();
-    this.fleet.entries.forEach(({ watcher }) => watcher.learn(logKey, { text, revision: 99 }));
+    this.fleet.entries.forEach(({ watcher }) => watcher.observe(logKey, { text, revision: 99 }));
     await this.clock.tickAsync(1000);
 });
 
--- a/src/configuration/test/sendMalformed.ts
+++ b/src/configuration/test/sendMalformed.ts
@@ -37,7 +37,7 @@
     );
     const body = fc.oneof(fc.anything(), part, fc.record({ revision: fc.nat(), hash: fc.string() }));
     for (const [at, text] of fc.sample(log, { numRuns: count, seed: 1 }).entries()) {
-        target.watcher.learn(logKey, { text, revision: 100 + at });
+        target.watcher.observe(logKey, { text, revision: 100 + at });
         await pass(1);
     }
     for (const message of fc.sample(body, { numRuns: count, seed: 2 })) {
--- a/src/daemon/createDaemon.ts
+++ b/src/daemon/createDaemon.ts
@@ -14,15 +14,22 @@
     workerDecoder,
 } from "../../platform";
 import { createClocks, pause } from "../clock";
-import { createDuty, createLagGuard, createLoadMeter, createPresence, measureStrength, type Tenure } from "../duties";
+import {
+    computeStrength,
+    createLagMonitor,
+    createLeaderElection,
+    createLoadMeter,
+    createPresence,
+    type Tenure,
+} from "../duties";
 import type { Reporter } from "../logging";
 import { createEventMetrics } from "../metrics";
 import { chooseLinks, createPeers, type Peer } from "../peers";
-import { createPolicyFeed, isFreshForStarts } from "../policy";
-import { createRelayedWorkers } from "../runs";
+import { createPolicyWatcher, isFreshEnoughToStart } from "../policy";
+import { createRelayedWorkerApi } from "../runs";
 import { createScheduler, type Scheduler } from "../scheduler";
 import { createRelayedStore } from "../store";
-import { createDoor, createRecordWriter } from "../submissions";
+import { createRecordWriter, createSubmissionApi } from "../submissions";
 import { createOwnerView } from "./createOwnerView";
 
 export interface Daemon {
@@ -104,31 +111,31 @@
     });
     const machines = createMachines(callWorker, settings.machinesAddress);
     const advice = createAdvice(callWorker, settings.adviceAddress);
-    const lagGuard = createLagGuard();
+    const lagGuard = createLagMonitor();
     const loadMeter = createLoadMeter((isBusy) =>
         report({ kind: "note", slice: "load", message: isBusy ? "this entry is busy" : "this entry is busy no more" })
     );
-    const workerApi = createRelayedWorkers({
+    const workerApi = createRelayedWorkerApi({
         direct: createTaskWorkers(callWorker, workerAnswerTimeoutMs),
         peers,
         isBusy: loadMeter.isBusy,
         nowMs: clocks.steadyMs,
     });
     let scheduler: Scheduler | undefined;
-    const policyFeed = createPolicyFeed({
+    const policyFeed = createPolicyWatcher({
         store,
         decoder: policyDecoder,
         clocks,
         report,
         onChange: () => scheduler?.policyChanged(),
     });
-    const duty = createDuty({
+    const duty = createLeaderElection({
         store,
         clocks,
         holder: { boot, instance: settings.instance },
         report,
         minTtlMs: settings.minLeaseTtlMs,
-        fitness: () => store.isTurnedAway() ? "turnedAway" : lagGuard.isSlow() ? "slow" : "fit",
+        fitness: () => store.isRelayOnly() ? "turnedAway" : lagGuard.isSlow() ? "slow" : "fit",
         onGained: beginTenure,
         onLost() {
             scheduler?.stop();
@@ -138,10 +145,10 @@
     const presence = createPresence({
         store,
         clocks,
-        self: { ...self, strength: measureStrength(settings.cores, settings.linkMbps) },
+        self: { ...self, strength: computeStrength(settings.cores, settings.linkMbps) },
         duty,
         onPeers(others) {
-            const links = chooseLinks({ self: boot, others, owner: presence.ownerBoot() });
+            const links = chooseLinks({ self: boot, others, leader: presence.leaderBoot() });
             peers.setAddresses(links.map(({ peerUrl }) => peerUrl));
         },
     });
@@ -169,22 +176,22 @@
             policy: policyFeed.policy,
             waves: policyFeed.waves,
             evacuatedZones: policyFeed.evacuatedZones,
-            isPolicyFresh: () => isFreshForStarts(policyFeed.ageMs(), settings.evacuateMs),
+            isPolicyFresh: () => isFreshEnoughToStart(policyFeed.ageMs(), settings.evacuateMs),
             async reportWave(wave, isComplete) {
                 const put = encodeWaveStatus(wave, isComplete);
                 const result = await store.commit({ conditions: [tenure.condition], puts: [put], deletes: [] });
                 return result.kind === "committed";
             },
-            onFenced: () => duty.noteRefused(),
+            onFenced: () => duty.onFenced(),
         });
         void scheduler.start();
     }
 
-    const door = createDoor({
+    const door = createSubmissionApi({
         policySource: policyFeed,
         store,
         writer: createRecordWriter(store, clocks.steadyMs),
-        owner: createOwnerView({ peers, ownerBoot: presence.ownerBoot, scheduler: () => scheduler }),
+        leader: createOwnerView({ peers, ownerBoot: presence.leaderBoot, scheduler: () => scheduler }),
         report,
         steadyMs: clocks.steadyMs,
         revokeMs: settings.revokeMs,
@@ -248,7 +255,7 @@
         async stop() {
             report({ kind: "stopping", runningTasks: openRequests });
             isStopping = true;
-            await duty.handOver();
+            await duty.resign();
             await pause(leaveRotationMs);
             await answerRest();
             duty.stop();
--- a/src/daemon/createOwnerView.ts
+++ b/src/daemon/createOwnerView.ts
@@ -1,6 +1,6 @@
 import type { Peers } from "../peers";
 import type { Scheduler } from "../scheduler";
-import type { OwnerView, SubmissionState } from "../submissions";
+import type { LeaderQueries, SubmissionState } from "../submissions";
 
 const stateTopic = "state";
 const countTopic = "count";
@@ -16,7 +16,7 @@
 }
 
 /** Asks the owner of the duty, which is this entry or a peer. */
-export function createOwnerView({ peers, ownerBoot, scheduler }: OwnerViewOptions): OwnerView {
+export function createOwnerView({ peers, ownerBoot, scheduler }: OwnerViewOptions): LeaderQueries {
     peers.onRequest(stateTopic, (_from, id) => Promise.resolve(scheduler()?.findState(String(id))));
     peers.onRequest(countTopic, (_from, route) => Promise.resolve(scheduler()?.countPending(String(route))));
 
--- a/src/duties/createLagGuard.ts
+++ b/src/duties/createLagMonitor.ts
@@ -1,5 +1,5 @@
 /** Reports whether this process gets too little processor time to schedule for the fleet. */
-export interface LagGuard {
+export interface LagMonitor {
     isSlow(): boolean;
     start(): void;
     stop(): void;
@@ -23,7 +23,7 @@
  * A machine that runs several times slower than usual still renews its lease in time. Without this check it would stay
  * leader, and every start in the fleet would be late.
  */
-export function createLagGuard(): LagGuard {
+export function createLagMonitor(): LagMonitor {
     let meanLagMs = 0;
     let sampledAtMs = 0;
     let slowUntilMs = Number.NEGATIVE_INFINITY;
--- a/src/duties/createDuty.ts
+++ b/src/duties/createLeaderElection.ts
@@ -1,7 +1,7 @@
 import { type Clocks, pause } from "../clock";
 import type { Reporter } from "../logging";
 import type { Store, StoreItem } from "../store";
-import type { Standing } from "./rankCandidates";
+import type { Ranking } from "./rankCandidates";
 
 /** One leader's term: the right to schedule and to send requests to workers. At most one entry holds it at a time. */
 export interface Tenure {
@@ -14,7 +14,7 @@
 }
 
 /** Value of the leader key in the store. */
-export interface DutyHolder {
+export interface LeaderRecord {
     readonly boot: string;
     readonly instance: string;
 }
@@ -27,10 +27,10 @@
  */
 export type Fitness = "fit" | "slow" | "turnedAway";
 
-export interface DutyOptions {
+export interface LeaderElectionOptions {
     readonly store: Store;
     readonly clocks: Clocks;
-    readonly holder: DutyHolder;
+    readonly holder: LeaderRecord;
     readonly report: Reporter;
     /** Shortest lease that the store grants, in milliseconds. */
     readonly minTtlMs: number;
@@ -42,22 +42,22 @@
     onLost(reason: string): void;
 }
 
-export interface Duty {
+export interface LeaderElection {
     /** Takes the current item of the leader key; `undefined` if there is no leader. */
-    noteHolder(item: StoreItem | undefined): void;
+    updateLeader(item: StoreItem | undefined): void;
     /** Takes this entry's rank among those that are up. */
-    noteStanding(standing: Standing): void;
+    updateRanking(standing: Ranking): void;
     /** The tenure of this entry; `undefined` while it is not leader. */
     tenure(): Tenure | undefined;
     /** Gives leadership up for good and ends the lease, so that another entry need not wait for it to expire. */
-    handOver(): Promise<void>;
+    resign(): Promise<void>;
     /** A request was refused because its receiver has seen a higher token; ends the tenure. */
-    noteRefused(): void;
+    onFenced(): void;
     start(): void;
     stop(): void;
 }
 
-export const dutyKey = "samphirepin/live/duty/all";
+export const leaderKey = "samphirepin/live/duty/all";
 
 /**
  * Lease of the leader, in milliseconds. A shorter one lets running work survive only shorter outages of the store. A longer
@@ -106,9 +106,9 @@
 }
 
 /** Campaigns for leadership, renews the lease while it leads, and reports the end of the tenure. */
-export function createDuty(opts: DutyOptions): Duty {
+export function createLeaderElection(opts: LeaderElectionOptions): LeaderElection {
     const { store, clocks, report } = opts;
-    let holder: DutyHolder | undefined;
+    let holder: LeaderRecord | undefined;
     let holderRevision = 0;
     let knowsHolder = false;
     let vacantSinceMs = 0;
@@ -195,8 +195,8 @@
             return;
         }
         const result = await store.commit({
-            conditions: [{ key: dutyKey, revision: expectedRevision }],
-            puts: [{ key: dutyKey, text: JSON.stringify(opts.holder), lease: leased.lease }],
+            conditions: [{ key: leaderKey, revision: expectedRevision }],
+            puts: [{ key: leaderKey, text: JSON.stringify(opts.holder), lease: leased.lease }],
             deletes: [],
         });
         if (result.kind !== "committed") {
@@ -212,7 +212,7 @@
         const held = { lease, validUntilMs, gainedAtMs: performance.now() } as Held;
         held.tenure = {
             token,
-            condition: { key: dutyKey, revision: token },
+            condition: { key: leaderKey, revision: token },
             isValid: () => current === held && clocks.suspendAwareMs() < held.validUntilMs,
         };
         current = held;
@@ -289,7 +289,7 @@
     }
 
     return {
-        noteHolder(item) {
+        updateLeader(item) {
             if (item === undefined && (holder !== undefined || !knowsHolder)) {
                 vacantSinceMs = performance.now();
             }
@@ -297,7 +297,7 @@
                 leaderLostAtMs = performance.now();
             }
             knowsHolder = true;
-            holder = item === undefined ? undefined : JSON.parse(item.text) as DutyHolder;
+            holder = item === undefined ? undefined : JSON.parse(item.text) as LeaderRecord;
             holderRevision = item?.revision ?? 0;
             isOwnExpired &&= holder?.boot === opts.holder.boot;
             const isOther = item !== undefined && current !== undefined && item.revision > current.tenure.token;
@@ -306,12 +306,12 @@
             }
             scheduleCampaign(rank * rankDelayMs);
         },
-        noteStanding(standing) {
+        updateRanking(standing) {
             rank = standing.rank;
-            muchStronger = standing.muchStronger;
+            muchStronger = standing.strongerLeader;
         },
         tenure: () => current?.tenure,
-        async handOver() {
+        async resign() {
             isResigned = true;
             const held = current;
             endTenure("resigned: this entry is stopping");
@@ -319,7 +319,7 @@
                 await store.endLease(held.lease);
             }
         },
-        noteRefused: () => endTenure("a request was refused: a higher fencing token is known"),
+        onFenced: () => endTenure("a request was refused: a higher fencing token is known"),
         start: () => scheduleCampaign(0),
         stop() {
             isStopped = true;
--- a/src/duties/createPresence.ts
+++ b/src/duties/createPresence.ts
@@ -1,7 +1,7 @@
 import type { Clocks } from "../clock";
 import type { Peer } from "../peers";
-import { createFollower, type Store, type StoreItem } from "../store";
-import { type Duty, dutyKey } from "./createDuty";
+import { createPrefixWatcher, type Store, type StoreItem } from "../store";
+import { type LeaderElection, leaderKey } from "./createLeaderElection";
 import { type Candidate, rankCandidates } from "./rankCandidates";
 
 /** Keys under leases: the entries that are up, and the leader. */
@@ -12,14 +12,14 @@
     readonly store: Store;
     readonly clocks: Clocks;
     readonly self: Candidate;
-    readonly duty: Duty;
+    readonly duty: LeaderElection;
     /** Called with the other entries that are up, according to the store. */
     onPeers(peers: readonly Peer[]): void;
 }
 
 export interface Presence {
     /** Boot id of the leader as last read from the store; `undefined` for none. */
-    ownerBoot(): string | undefined;
+    leaderBoot(): string | undefined;
     start(): void;
     stop(): Promise<void>;
 }
@@ -43,7 +43,7 @@
     let timer: NodeJS.Timeout | undefined;
 
     function updateItem(key: string, item: StoreItem | undefined): void {
-        if (key === dutyKey) {
+        if (key === leaderKey) {
             leaderBoot = item === undefined ? undefined : (JSON.parse(item.text) as { boot: string; }).boot;
         }
         else if (item === undefined) {
@@ -54,7 +54,7 @@
         }
     }
 
-    const follower = createFollower({
+    const follower = createPrefixWatcher({
         store,
         prefix: livePrefix,
         waitMs: watchWaitMs,
@@ -64,8 +64,8 @@
         onBatch() {
             const others = [...peers.values()].filter(({ boot }) => boot !== self.boot);
             opts.onPeers(others);
-            duty.noteStanding(rankCandidates(self, others));
-            duty.noteHolder(follower.items.get(dutyKey));
+            duty.updateRanking(rankCandidates(self, others));
+            duty.updateLeader(follower.items.get(leaderKey));
         },
     });
 
@@ -90,7 +90,7 @@
     }
 
     return {
-        ownerBoot: () => leaderBoot,
+        leaderBoot: () => leaderBoot,
         start() {
             follower.start();
             void register();
--- a/src/duties/index.ts
+++ b/src/duties/index.ts
@@ -1,6 +1,13 @@
 /** Leader election: one entry at a time schedules, under a lease in the platform's store, with a rising fencing token. */
-export { createDuty, type Duty, type DutyHolder, dutyKey, type Fitness, type Tenure } from "./createDuty";
-export { createLagGuard, type LagGuard } from "./createLagGuard";
+export { createLagMonitor, type LagMonitor } from "./createLagMonitor";
+export {
+    createLeaderElection,
+    type Fitness,
+    type LeaderElection,
+    leaderKey,
+    type LeaderRecord,
+    type Tenure,
+} from "./createLeaderElection";
 export { createLoadMeter, type LoadMeter } from "./createLoadMeter";
 export { createPresence, type Presence } from "./createPresence";
-export { type Candidate, measureStrength, rankCandidates, type Standing } from "./rankCandidates";
+export { type Candidate, computeStrength, rankCandidates, type Ranking } from "./rankCandidates";
--- a/src/duties/rankCandidates.ts
+++ b/src/duties/rankCandidates.ts
@@ -7,11 +7,11 @@
 }
 
 /** Place of an entry among the candidates for leadership. */
-export interface Standing {
+export interface Ranking {
     /** Position in the order of campaigning, the strongest candidate first; 0 for the first. */
     readonly rank: number;
     /** Boot id of the strongest other entry, if it is at least `muchStrongerFactor` times stronger than this one. */
-    readonly muchStronger: string | undefined;
+    readonly strongerLeader: string | undefined;
 }
 
 /**
@@ -29,12 +29,12 @@
  * Instances of one fleet differ by a factor of 4 in processor and of 20 in bandwidth. The smallest one as leader of 250
  * workers took 1.7 s to begin and sent a hundred starts per second while thousands of tasks waited.
  */
-export function measureStrength(cores: number, linkMbps: number): number {
+export function computeStrength(cores: number, linkMbps: number): number {
     return cores * Math.min(1, linkMbps / ampleLinkMbps);
 }
 
 /** Ranks an entry among all that are up, by strength and then by boot id. */
-export function rankCandidates(self: Candidate, others: readonly Candidate[]): Standing {
+export function rankCandidates(self: Candidate, others: readonly Candidate[]): Ranking {
     const isBefore = (a: Candidate, b: Candidate) =>
         a.strength > b.strength || a.strength === b.strength && a.boot < b.boot;
     const stronger = others.filter((other) => isBefore(other, self));
@@ -43,5 +43,5 @@
         undefined,
     );
     const isMuchStronger = strongest !== undefined && strongest.strength >= self.strength * muchStrongerFactor;
-    return { rank: stronger.length, muchStronger: isMuchStronger ? strongest.boot : undefined };
+    return { rank: stronger.length, strongerLeader: isMuchStronger ? strongest.boot : undefined };
 }
--- a/src/duties/test/duties.steps.ts
+++ b/src/duties/test/duties.steps.ts
@@ -2,20 +2,20 @@
 import assert from "node:assert/strict";
 import { type Clock, installClock } from "../../../standins/dispatch";
 import { createFakeStore, type FakeStore, type StoreFault } from "../../../standins/scheduling";
-import { createFollower } from "../../store";
+import { createPrefixWatcher } from "../../store";
 import {
     type Candidate,
-    createDuty,
-    type Duty,
-    dutyKey,
-    measureStrength,
+    computeStrength,
+    createLeaderElection,
+    type LeaderElection,
+    leaderKey,
     rankCandidates,
-    type Standing,
+    type Ranking,
 } from "../index";
 
 interface Entry {
     readonly name: string;
-    readonly duty: Duty;
+    readonly duty: LeaderElection;
     isKilled: boolean;
     stop(): void;
 }
@@ -53,7 +53,7 @@
         steadyMs: () => performance.now(),
         suspendAwareMs: () => performance.now() + world.suspendedMs,
     };
-    const duty = createDuty({
+    const duty = createLeaderElection({
         store,
         clocks,
         holder: { boot: name, instance: name },
@@ -65,16 +65,16 @@
         },
         onLost() {},
     });
-    const follower = createFollower({
+    const follower = createPrefixWatcher({
         store,
-        prefix: dutyKey,
+        prefix: leaderKey,
         waitMs: 1000,
         pauseMs: 0,
         nowMs: clocks.steadyMs,
         onItem() {},
-        onBatch: () => duty.noteHolder(follower.items.get(dutyKey)),
+        onBatch: () => duty.updateLeader(follower.items.get(leaderKey)),
     });
-    duty.noteStanding({ rank, muchStronger: undefined });
+    duty.updateRanking({ rank, strongerLeader: undefined });
     follower.start();
     duty.start();
     const entry: Entry = {
@@ -131,7 +131,7 @@
 When("the leader resigns", function(this: World) {
     const leader = leaderOf(this);
     leader.isKilled = true;
-    void leader.duty.handOver();
+    void leader.duty.resign();
 });
 
 When("the store is {string} for the leader", function(this: World, fault: StoreFault) {
@@ -177,8 +177,8 @@
     assert.ok(leader);
     this.formerLeader = leader.name;
     this.formerToken = leader.duty.tenure()?.token ?? 0;
-    other?.duty.noteStanding({ rank: 0, muchStronger: undefined });
-    leader.duty.noteStanding({ rank: 1, muchStronger: other?.name ?? "somebody" });
+    other?.duty.updateRanking({ rank: 0, strongerLeader: undefined });
+    leader.duty.updateRanking({ rank: 1, strongerLeader: other?.name ?? "somebody" });
 });
 
 Then("the other one is leader", function(this: World) {
@@ -204,12 +204,12 @@
             region: "north",
             zone: "zone-a",
             peerUrl: "",
-            strength: measureStrength(Number(each), links[at] ?? 0),
+            strength: computeStrength(Number(each), links[at] ?? 0),
         }));
     },
 );
 
-function rankingOf(world: World, boot: string): Standing {
+function rankingOf(world: World, boot: string): Ranking {
     const self = world.candidates.find((each) => each.boot === boot);
     assert.ok(self);
     return rankCandidates(self, world.candidates.filter((each) => each !== self));
@@ -221,5 +221,5 @@
 });
 
 Then("as leader, the first one {word}", function(this: World, action: string) {
-    assert.equal(rankingOf(this, "a").muchStronger !== undefined, action === "resigns");
+    assert.equal(rankingOf(this, "a").strongerLeader !== undefined, action === "resigns");
 });
--- a/src/entry/createCore.ts
+++ b/src/entry/createCore.ts
@@ -10,7 +10,7 @@
 import type { Metrics } from "../metrics";
 import { createOnce, type Once } from "../once";
 import type { Peers } from "../peers";
-import { createWatcher, type Platform, type Watcher } from "../platform";
+import { createKeyWatcher, type KeyWatcher, type Platform } from "../platform";
 import { createPoolIndex } from "../pools";
 import type { Settings } from "../settings";
 import { createShares } from "../shares";
@@ -31,7 +31,7 @@
 
 /** Everything of a daemon but its HTTP interfaces and its adapters. */
 export interface Core {
-    readonly watcher: Watcher;
+    readonly watcher: KeyWatcher;
     readonly configuration: Configuration;
     readonly members: Members;
     readonly limits: Limits;
@@ -57,7 +57,7 @@
 export function createCore(opts: CoreOptions): Core {
     const { settings, platform, peers, workers, report, metrics } = opts;
     const { boot, region, zone } = peers.self;
-    const watcher = createWatcher({ platform, watchMs, retryMs: platformRetryMs });
+    const watcher = createKeyWatcher({ platform, watchMs, retryMs: platformRetryMs });
     const members = createMembers({
         platform,
         watcher,
@@ -141,7 +141,7 @@
             // An entry that served before it is in the record would not be asked whether it has a revision in force;
             // one that served what it read before it entered could lack a revision that is called in force everywhere.
             // While the platform is down nothing is accepted, and the entry serves what its peers hold.
-            await members.entered(enterWaitMs);
+            await members.waitUntilRecorded(enterWaitMs);
             await configuration.refresh();
             limits.start();
             once.start();
--- a/src/entry/createEntry.ts
+++ b/src/entry/createEntry.ts
@@ -64,7 +64,7 @@
         instance,
         boot,
         clocks: createClocks(),
-        onLapsed() {
+        onLeaseExpired() {
             report({ kind: "removedFromRecord", boot });
             void entry.stop();
         },
--- a/src/limits/createEndedBoots.ts
+++ b/src/limits/createEndedBoots.ts
@@ -21,7 +21,7 @@
     let lastProofAtMs = -Infinity;
 
     function isEnded(boot: string, leaseMs: number): boolean {
-        if (!members.isGone(boot) && !proved.has(boot)) {
+        if (!members.hasEnded(boot) && !proved.has(boot)) {
             firstSeenGoneAtMs.delete(boot);
             return false;
         }
@@ -34,7 +34,7 @@
     function isUnclear(boot: string): boolean {
         const recorded = members.recorded();
         return recorded !== undefined && !recorded.some((member) => member.boot === boot)
-            && !members.isGone(boot) && !proved.has(boot);
+            && !members.hasEnded(boot) && !proved.has(boot);
     }
 
     return {
@@ -45,7 +45,7 @@
             const now = performance.now();
             if (unclear.length > 0 && now - lastProofAtMs >= proofMs) {
                 lastProofAtMs = now;
-                void members.proveGone(unclear).then((gone) => gone?.forEach((boot) => proved.add(boot)));
+                void members.proveEnded(unclear).then((gone) => gone?.forEach((boot) => proved.add(boot)));
             }
         },
     };
--- a/src/limits/createLimits.ts
+++ b/src/limits/createLimits.ts
@@ -84,7 +84,7 @@
     function eligible(): readonly string[] {
         const connected = new Set([boot, ...peers.connected().map((peer) => peer.boot)]);
         return (members.recorded() ?? []).map((peer) => peer.boot)
-            .filter((each) => connected.has(each) && !members.isGone(each));
+            .filter((each) => connected.has(each) && !members.hasEnded(each));
     }
 
     function createShardDivider(shard: number): Divider {
@@ -216,7 +216,7 @@
     return {
         tryTake(team, size, requestId) {
             // A boot that the record has dropped may have lost its slices; it can only be here if that was wrong.
-            const hold = members.isGone(boot) ? undefined : holder.tryTake(team, size);
+            const hold = members.hasEnded(boot) ? undefined : holder.tryTake(team, size);
             if (requestId !== undefined && hold === undefined) {
                 holder.noteDemand(team, size, requestId);
             }
--- a/src/machines/hasSlack.ts
+++ b/src/machines/canDeferMaintenance.ts
@@ -1,6 +1,6 @@
 import type { Wave } from "../policy";
 
-export interface SlackOptions {
+export interface DeferMaintenanceOptions {
     readonly wave: Wave;
     /** Machines whose maintenance for this wave has begun. */
     readonly begun: ReadonlySet<string>;
@@ -33,7 +33,9 @@
  * A wave that comes in the middle of a queue's busy period would take down machines that its tasks wait for, while the same
  * machines are idle a few seconds later.
  */
-export function hasSlack({ wave, begun, sinceMs, maintenanceMs, emptyingMs = 0 }: SlackOptions): boolean {
+export function canDeferMaintenance(
+    { wave, begun, sinceMs, maintenanceMs, emptyingMs = 0 }: DeferMaintenanceOptions,
+): boolean {
     const remaining = wave.machines.filter((id) => !begun.has(id)).length;
     const rounds = Math.ceil(remaining / Math.max(1, wave.maxDown));
     const roundsMs = rounds * (maintenanceMs + roundOverheadMs);
--- a/src/machines/chooseUpkeep.ts
+++ b/src/machines/chooseMaintenance.ts
@@ -1,7 +1,7 @@
 import type { Wave } from "../policy";
 import type { Machine } from "./machines";
 
-export interface UpkeepOptions {
+export interface MaintenanceOptions {
     readonly wave: Wave;
     /** Machines of the fleet, by id. */
     readonly machines: ReadonlyMap<string, Machine>;
@@ -20,15 +20,15 @@
     /** Whether a machine is being emptied for the wave. */
     readonly isEmptying: (id: string) => boolean;
     /** Whether a machine can't be used anyway, because its availability zone is under evacuation. */
-    readonly isUnused: (machine: Machine) => boolean;
+    readonly isUnusable: (machine: Machine) => boolean;
 }
 
 /** What happens next in a wave. */
-export interface UpkeepChoice {
+export interface MaintenanceChoice {
     /** Machines that can go down now. */
-    readonly now: readonly string[];
+    readonly startNow: readonly string[];
     /** Machines to empty, which go down next. */
-    readonly prepare: readonly string[];
+    readonly emptyNext: readonly string[];
     /** The maintenance of each machine of the wave has begun, or the machine was removed. */
     readonly isComplete: boolean;
 }
@@ -47,7 +47,7 @@
  * go back to its pool with some of its tasks stopped. Its tasks were then stopped and started again there four times in
  * six seconds, and its maintenance began after the wave was due.
  */
-export function chooseUpkeep(opts: UpkeepOptions): UpkeepChoice {
+export function chooseMaintenance(opts: MaintenanceOptions): MaintenanceChoice {
     const { wave, machines, begun, removed, down } = opts;
     const countRuns = (machine: Machine) => opts.runsOn(machine) ?? Number.MAX_SAFE_INTEGER;
     const open = wave.machines.filter((id) => !begun.has(id) && !removed.has(id));
@@ -58,12 +58,12 @@
         .filter((machine) => !opts.mayWait || opts.isEmptying(machine.id) || !opts.isNeeded(machine))
         .sort((a, b) =>
             countRuns(a) - countRuns(b) || Number(opts.isEmptying(b.id)) - Number(opts.isEmptying(a.id))
-            || Number(opts.isUnused(b)) - Number(opts.isUnused(a))
+            || Number(opts.isUnusable(b)) - Number(opts.isUnusable(a))
         );
     const now = candidates.filter((machine) => opts.runsOn(machine) === 0).slice(0, allowedDown).map(({ id }) => id);
     return {
-        now,
-        prepare: candidates.slice(0, wave.maxDown + emptiedInAdvance).map(({ id }) => id),
+        startNow: now,
+        emptyNext: candidates.slice(0, wave.maxDown + emptiedInAdvance).map(({ id }) => id),
         isComplete: open.length === 0,
     };
 }
--- a/src/machines/chooseMoves.ts
+++ b/src/machines/chooseMoves.ts
@@ -20,13 +20,13 @@
     /** Processors that it needs by the time at which a machine that is sent now has joined. */
     readonly neededCpuMillis: number;
     /** Processors of its workers. */
-    readonly roomCpuMillis: number;
+    readonly capacityCpuMillis: number;
     /** Processors of machines on their way to it. */
     readonly comingCpuMillis: number;
     /** Processors beyond its need that it keeps while it has little to do. */
     readonly reserveCpuMillis: number;
     /** Number of machines that serve it, without those that are kept free of work for a move or for maintenance. */
-    readonly machines: number;
+    readonly machineCount: number;
 }
 
 /** A move of a machine between two pools. */
@@ -41,7 +41,7 @@
     readonly pools: readonly PoolDemand[];
     readonly idle: readonly IdleMachine[];
     /** Moves that the platform has answered as impossible: machine id and pool name, separated by a space. */
-    readonly impossible: ReadonlySet<string>;
+    readonly impossibleMoves: ReadonlySet<string>;
     /** Most moves to choose; the platform takes a limited number of orders a second. */
     readonly maxMoves: number;
 }
@@ -57,7 +57,7 @@
  * as a machine in a pool for 1.1 s, so it pays off if the machine finds about a second of work for a third of its
  * processors.
  */
-export const leastMissingShare = 0.3;
+export const minMissingShare = 0.3;
 
 /**
  * A machine that its pool doesn't need goes to the standby pool after this time without work, in milliseconds. Staying idle
@@ -70,7 +70,7 @@
 
 /** Processors that a pool lacks (above 0) or has to spare (below 0), in thousandths. */
 export function findShortage(pool: PoolDemand): number {
-    const missing = pool.neededCpuMillis * fragmentationFactor - pool.roomCpuMillis;
+    const missing = pool.neededCpuMillis * fragmentationFactor - pool.capacityCpuMillis;
     return Math.max(missing, pool.unplaceableCpuMillis > 0 ? pool.unplaceableCpuMillis : missing)
         - pool.comingCpuMillis;
 }
@@ -97,8 +97,8 @@
         const [to, short] = [...shortage].reduce((largest, pool) => pool[1] > largest[1] ? pool : largest, ["", 0]);
         const isUnplaceable = (pools.get(to)?.unplaceableCpuMillis ?? 0) > 0;
         const index = idle.findIndex(({ id, pool, cpuMillis, isEvacuated }) =>
-            pool !== to && !isEvacuated && !opts.impossible.has(`${id} ${to}`)
-            && (isUnplaceable ? short > 0 : short >= leastMissingShare * cpuMillis)
+            pool !== to && !isEvacuated && !opts.impossibleMoves.has(`${id} ${to}`)
+            && (isUnplaceable ? short > 0 : short >= minMissingShare * cpuMillis)
             && (pool === standby || (shortage.get(pool) ?? 0) + cpuMillis <= 0)
         );
         const [machine] = index < 0 ? [] : idle.splice(index, 1);
@@ -130,7 +130,7 @@
     if (standby === undefined) {
         return choices;
     }
-    const machines = new Map([...pools.values()].map(({ pool, machines: count }) => [pool, count]));
+    const machines = new Map([...pools.values()].map(({ pool, machineCount: count }) => [pool, count]));
     for (const { id, pool, cpuMillis, idleMs, isEvacuated } of idle) {
         // The capacity and machine count of its pool don't include a machine under evacuation.
         const without = (shortage.get(pool) ?? 0) + (isEvacuated ? 0 : cpuMillis);
--- a/src/machines/createDemandMeter.ts
+++ b/src/machines/createDemandMeter.ts
@@ -5,20 +5,20 @@
     /** Processors that it keeps busy while it runs, in thousandths. */
     readonly cpuMillis: number;
     /** How long it runs if it never has to wait for capacity, in milliseconds. */
-    readonly stayMs: number;
+    readonly minDurationMs: number;
 }
 
 /** Measures how much work arrives for each pool. */
 export interface DemandMeter {
     /** Records work that arrived `ageMs` ago. */
-    note(pool: string, work: ArrivedWork, nowMs: number, ageMs?: number): void;
+    recordArrival(pool: string, work: ArrivedWork, nowMs: number, ageMs?: number): void;
     /**
      * Forecasts the processors that work arriving from now on keeps busy at the time when a machine that is sent now has
      * joined, in thousandths.
      */
-    arrivingCpuMillis(pool: string, nowMs: number): number;
+    forecastArrivingCpuMillis(pool: string, nowMs: number): number;
     /** Processors that one submission of the pool keeps busy, in thousandths: the moving average of the latest. */
-    typicalCpuMillis(pool: string): number;
+    meanSubmissionCpuMillis(pool: string): number;
 }
 
 /** Weight of the newest submission in the moving average of a pool: about the last ten submissions count. */
@@ -35,16 +35,16 @@
     const meanCpuMillis = new Map<string, number>();
 
     return {
-        note(pool, { cpuMillis, stayMs }, nowMs, ageMs = 0) {
+        recordArrival(pool, { cpuMillis, minDurationMs: durationMs }, nowMs, ageMs = 0) {
             // A new leader reads all open work at once. If that counted as arriving now, a pool whose busy period is over
             // would look as if its busy period had just begun.
-            const arrival = { atMs: nowMs - ageMs, cpuMillis: cpuMillis * Math.min(1, stayMs / joinMs) };
+            const arrival = { atMs: nowMs - ageMs, cpuMillis: cpuMillis * Math.min(1, durationMs / joinMs) };
             const recent = (arrivals.get(pool) ?? []).filter(({ atMs }) => atMs > nowMs - joinMs);
             arrivals.set(pool, [...recent, arrival]);
             const previousMean = meanCpuMillis.get(pool) ?? cpuMillis;
             meanCpuMillis.set(pool, previousMean + newestWeight * (cpuMillis - previousMean));
         },
-        arrivingCpuMillis: (pool, nowMs) => estimateArrivals(arrivals.get(pool) ?? [], joinMs, nowMs),
-        typicalCpuMillis: (pool) => meanCpuMillis.get(pool) ?? 0,
+        forecastArrivingCpuMillis: (pool, nowMs) => estimateArrivals(arrivals.get(pool) ?? [], joinMs, nowMs),
+        meanSubmissionCpuMillis: (pool) => meanCpuMillis.get(pool) ?? 0,
     };
 }
--- a/src/machines/createMachineOrders.ts
+++ b/src/machines/createMachineOrders.ts
@@ -1,7 +1,7 @@
 import type { Tenure } from "../duties";
 import type { Reporter } from "../logging";
 import type { Store } from "../store";
-import type { MachineOrderer, MachineOrderResult, Machines } from "./machines";
+import type { MachineApi, MachineOrderer, MachineOrderResult } from "./machines";
 
 /** Record of the orders to machines in the store, for the next leader. */
 interface OrdersRecord {
@@ -20,12 +20,12 @@
 
 export interface MachineOrdersOptions {
     readonly store: Store;
-    readonly machines: Machines;
+    readonly machines: MachineApi;
     readonly tenure: Tenure;
     readonly orderer: MachineOrderer;
     readonly report: Reporter;
     /** Shortest time between an order to a machine by one leader and one by the next leader, in milliseconds. */
-    readonly turnMs: number;
+    readonly minHandoverMs: number;
 }
 
 export interface MachineOrders {
@@ -144,7 +144,8 @@
         },
         isBlocked(machine) {
             const atMs = orderedAtMs.get(machine);
-            return atMs !== undefined && !ownMachines.has(machine) && Date.now() - atMs < opts.turnMs + clockSkewMs;
+            return atMs !== undefined && !ownMachines.has(machine)
+                && Date.now() - atMs < opts.minHandoverMs + clockSkewMs;
         },
         begun: (wave) => waves.get(String(wave)) ?? new Set(),
         waveSeenAtMs(wave) {
--- a/src/machines/forecastNeed.ts
+++ b/src/machines/forecastNeedCpuMillis.ts
@@ -7,7 +7,7 @@
     /** Processors that the work arriving within `joinMs` will keep busy, in thousandths. */
     readonly arrivingCpuMillis: number;
     /** Processors of the pool that are available to work that ends by itself, in thousandths. */
-    readonly roomCpuMillis: number;
+    readonly capacityCpuMillis: number;
     /** Processors of machines on their way to the pool, in thousandths. */
     readonly comingCpuMillis: number;
     /** Time from the decision to send a machine until it takes work, in milliseconds. */
@@ -26,7 +26,7 @@
  */
 export function forecastNeedCpuMillis(input: NeedInput): number {
     const { openCpuMillis, openCoreMs, arrivingCpuMillis } = input;
-    const meanCapacityCpuMillis = input.roomCpuMillis + comingWorkShare * input.comingCpuMillis;
+    const meanCapacityCpuMillis = input.capacityCpuMillis + comingWorkShare * input.comingCpuMillis;
     const doneCoreMs = meanCapacityCpuMillis / 1000 * input.joinMs;
     const backlogShare = openCoreMs > 0 ? Math.max(0, 1 - doneCoreMs / openCoreMs) : 0;
     return Math.max(openCpuMillis, backlogShare * openCpuMillis + arrivingCpuMillis);
--- a/src/machines/machines.ts
+++ b/src/machines/machines.ts
@@ -39,7 +39,7 @@
 }
 
 /** The platform's API for machines. Each call is made once; callers decide and retry. */
-export interface Machines {
+export interface MachineApi {
     list(): Promise<MachineListResult>;
     /** Moves the machine to another pool. */
     move(machine: string, pool: string, orderer: MachineOrderer): Promise<MachineOrderResult>;
--- a/src/machines/test/machines.steps.ts
+++ b/src/machines/test/machines.steps.ts
@@ -2,18 +2,18 @@
 import assert from "node:assert/strict";
 import type { Wave } from "../../policy";
 import {
+    canDeferMaintenance,
+    chooseMaintenance,
     chooseMoves,
-    chooseUpkeep,
     createDemandMeter,
     type DemandMeter,
     forecastNeedCpuMillis,
-    hasSlack,
     type IdleMachine,
     type Machine,
+    type MaintenanceChoice,
     type MoveChoice,
     type NeedInput,
     type PoolDemand,
-    type UpkeepChoice,
 } from "../index";
 
 interface World {
@@ -25,8 +25,8 @@
     arrivalsPerSecond: number;
     need: Omit<NeedInput, "joinMs">;
     neededCpuMillis: number;
-    choose: () => UpkeepChoice;
-    maintenance: UpkeepChoice;
+    choose: () => MaintenanceChoice;
+    maintenance: MaintenanceChoice;
     wave?: Wave;
 }
 
@@ -38,13 +38,13 @@
     waitingCpuMillis: 0,
     unplaceableCpuMillis: 0,
     neededCpuMillis: 0,
-    roomCpuMillis: 0,
+    capacityCpuMillis: 0,
     comingCpuMillis: 0,
     reserveCpuMillis: 0,
 };
 
 Before(function(this: World) {
-    this.pools = [{ ...noDemand, pool: "spare", isStandby: true, machines: 0 }];
+    this.pools = [{ ...noDemand, pool: "spare", isStandby: true, machineCount: 0 }];
     this.idle = [];
     this.meter = createDemandMeter(joinMs);
     this.nowMs = 0;
@@ -52,7 +52,7 @@
 
 function addPool(world: World, pool: string, cores: Partial<Record<keyof PoolDemand, number>>): void {
     const millis = Object.fromEntries(Object.entries(cores).map(([name, count]) => [name, count * 1000]));
-    world.pools.push({ ...noDemand, machines: 0, ...millis, pool });
+    world.pools.push({ ...noDemand, machineCount: 0, ...millis, pool });
 }
 
 function addIdle(world: World, count: number, cores: number, pool: string): void {
@@ -69,8 +69,8 @@
         known.pool === pool && !known.isStandby
             ? {
                 ...known,
-                roomCpuMillis: known.roomCpuMillis + count * cores * 1000,
-                machines: known.machines + count,
+                capacityCpuMillis: known.capacityCpuMillis + count * cores * 1000,
+                machineCount: known.machineCount + count,
             }
             : known
     );
@@ -79,14 +79,14 @@
 Given(
     "pool {string} that needs {int} cores and has {int}",
     function(this: World, pool: string, needed: number, capacity: number) {
-        addPool(this, pool, { neededCpuMillis: needed, roomCpuMillis: capacity });
+        addPool(this, pool, { neededCpuMillis: needed, capacityCpuMillis: capacity });
     },
 );
 
 Given(
     "pool {string} that needs {int} cores and has {int}, with {int} coming",
     function(this: World, pool: string, needed: number, capacity: number, coming: number) {
-        addPool(this, pool, { neededCpuMillis: needed, roomCpuMillis: capacity, comingCpuMillis: coming });
+        addPool(this, pool, { neededCpuMillis: needed, capacityCpuMillis: capacity, comingCpuMillis: coming });
     },
 );
 
@@ -100,7 +100,7 @@
 Given(
     "pool {string} where tasks of {int} cores fit on no worker and {int} cores are free",
     function(this: World, pool: string, waiting: number, free: number) {
-        addPool(this, pool, { waitingCpuMillis: waiting, unplaceableCpuMillis: waiting, roomCpuMillis: free });
+        addPool(this, pool, { waitingCpuMillis: waiting, unplaceableCpuMillis: waiting, capacityCpuMillis: free });
     },
 );
 
@@ -122,12 +122,12 @@
 Given("the machines of {string} are under evacuation", function(this: World, pool: string) {
     this.idle = this.idle.map((machine) => machine.pool === pool ? { ...machine, isEvacuated: true } : machine);
     this.pools = this.pools.map((known) =>
-        known.pool === pool && !known.isStandby ? { ...known, roomCpuMillis: 0, machines: 0 } : known
+        known.pool === pool && !known.isStandby ? { ...known, capacityCpuMillis: 0, machineCount: 0 } : known
     );
 });
 
 When("moves are chosen", function(this: World) {
-    this.moves = chooseMoves({ pools: this.pools, idle: this.idle, impossible: new Set(), maxMoves: 20 });
+    this.moves = chooseMoves({ pools: this.pools, idle: this.idle, impossibleMoves: new Set(), maxMoves: 20 });
 });
 
 Then("{int} machine(s) go(es) to {string}", function(this: World, count: number, pool: string) {
@@ -144,13 +144,13 @@
 function recordArrivals(world: World, arrivalsPerSecond: number, forMs: number): void {
     const untilMs = world.nowMs + forMs;
     for (let atMs = world.nowMs; atMs < untilMs; atMs += 1000 / arrivalsPerSecond) {
-        world.meter.note("stalls", { cpuMillis: submissionCpuMillis, stayMs: joinMs }, atMs);
+        world.meter.recordArrival("stalls", { cpuMillis: submissionCpuMillis, minDurationMs: joinMs }, atMs);
     }
     world.nowMs = untilMs;
 }
 
 function arrivingCores(world: World): number {
-    return world.meter.arrivingCpuMillis("stalls", world.nowMs) / 1000;
+    return world.meter.forecastArrivingCpuMillis("stalls", world.nowMs) / 1000;
 }
 
 Given(
@@ -177,7 +177,12 @@
     "{int} submissions of 5 cores are read that arrived {int} ms ago",
     function(this: World, count: number, ageMs: number) {
         for (let at = 0; at < count; at++) {
-            this.meter.note("stalls", { cpuMillis: submissionCpuMillis, stayMs: joinMs }, this.nowMs, ageMs);
+            this.meter.recordArrival(
+                "stalls",
+                { cpuMillis: submissionCpuMillis, minDurationMs: joinMs },
+                this.nowMs,
+                ageMs,
+            );
         }
     },
 );
@@ -193,7 +198,7 @@
             openCpuMillis: open * 1000,
             openCoreMs: open * ms,
             arrivingCpuMillis: arriving * 1000,
-            roomCpuMillis: capacity * 1000,
+            capacityCpuMillis: capacity * 1000,
             comingCpuMillis: 0,
         };
     },
@@ -223,8 +228,8 @@
     mayWait = false,
     emptying: readonly string[] = [],
     unusable: readonly string[] = [],
-): UpkeepChoice {
-    return chooseUpkeep({
+): MaintenanceChoice {
+    return chooseMaintenance({
         wave: { wave: 1, machines: machineIds, completeByS: 20, maxDown },
         machines: new Map(machineIds.filter((id) => !removed.includes(id)).map((id) => [id, machine(id)])),
         begun: new Set(begun),
@@ -234,7 +239,7 @@
         isNeeded: ({ id }) => needed.includes(id),
         mayWait,
         isEmptying: (id) => emptying.includes(id),
-        isUnused: ({ id }) => unusable.includes(id),
+        isUnusable: ({ id }) => unusable.includes(id),
     });
 }
 
@@ -287,7 +292,7 @@
 function mayWait({ wave }: World, sinceS: number, begun: number, emptyingMs: number): boolean {
     assert.ok(wave);
     const begunIds = new Set(machineIds.slice(0, begun));
-    return hasSlack({ wave, begun: begunIds, sinceMs: sinceS * 1000, maintenanceMs: 2000, emptyingMs });
+    return canDeferMaintenance({ wave, begun: begunIds, sinceMs: sinceS * 1000, maintenanceMs: 2000, emptyingMs });
 }
 
 Then(
@@ -309,11 +314,11 @@
 });
 
 Then("{string} is emptied", function(this: World, expected: string) {
-    assert.equal(this.maintenance.prepare.join(", "), expected);
+    assert.equal(this.maintenance.emptyNext.join(", "), expected);
 });
 
 Then("{string} go down now", function(this: World, expected: string) {
-    assert.equal(this.maintenance.now.join(", "), expected);
+    assert.equal(this.maintenance.startNow.join(", "), expected);
 });
 
 Then("the wave is complete", function(this: World) {
--- a/src/members/createMembers.ts
+++ b/src/members/createMembers.ts
@@ -1,7 +1,7 @@
 import { pause } from "../clock";
 import type { Reporter } from "../logging";
 import type { Peers } from "../peers";
-import type { Platform, StoredValue, Watcher } from "../platform";
+import type { KeyWatcher, Platform, StoredValue } from "../platform";
 import { applyListing } from "./applyListing";
 import { createInstanceList, type Listing } from "./createInstanceList";
 import { emptyRecord, type MemberRecord, membersKey, parseRecord } from "./memberRecord";
@@ -9,7 +9,7 @@
 
 export interface MembersOptions {
     readonly platform: Platform;
-    readonly watcher: Watcher;
+    readonly watcher: KeyWatcher;
     readonly peers: Peers;
     /** Retry delay after the platform failed, in milliseconds. */
     readonly retryMs: number;
@@ -51,7 +51,7 @@
     });
 
     opts.peers.setAddresses(opts.seedUrls ?? []);
-    opts.watcher.follow(membersKey, applyStored, () => {
+    opts.watcher.subscribe(membersKey, applyStored, () => {
         report({ kind: "platformWentBack", key: membersKey });
         void restore();
     });
@@ -169,8 +169,8 @@
 
     return {
         recorded: () => record?.members,
-        isGone: (boot) => knownBoots.has(boot) && isAbsent(boot),
-        async proveGone(boots) {
+        hasEnded: (boot) => knownBoots.has(boot) && isAbsent(boot),
+        async proveEnded(boots) {
             const isConfirmed = await updateRecord((current) => current, true);
             return isConfirmed ? new Set(boots.filter(isAbsent)) : undefined;
         },
@@ -193,7 +193,7 @@
             void addSelf();
             instanceList.start();
         },
-        entered: (waitMs) =>
+        waitUntilRecorded: (waitMs) =>
             new Promise((resolve) => {
                 const finish = () => {
                     clearTimeout(timeout);
--- a/src/members/members.ts
+++ b/src/members/members.ts
@@ -16,14 +16,14 @@
      * unreachable does not count as ended. A boot leaves the record when a newer boot of the same instance binds its
      * address, when its instance leaves the instance list, or when it shuts down cleanly.
      */
-    isGone(boot: string): boolean;
+    hasEnded(boot: string): boolean;
     /**
      * Returns the given boots that are not in the record, after a write that proves the record to be the newest. These
      * boots have ended, provided that each one entered the record before it wrote the value that names it. This covers
      * boots that had ended before this entry started: `hasEnded` stays false for them. Costs one read and one write of
      * the platform. Returns `undefined` if the platform did not answer or another entry wrote in between.
      */
-    proveGone(boots: readonly string[]): Promise<ReadonlySet<string> | undefined>;
+    proveEnded(boots: readonly string[]): Promise<ReadonlySet<string> | undefined>;
     /** Reads the record now; returns false if the platform did not answer. */
     refresh(): Promise<boolean>;
     /** The latest instance list received: instances not in it are absent. `undefined` until a list was received. */
@@ -37,7 +37,7 @@
     /** Adds this boot to the record, with retries until it succeeds. */
     start(): void;
     /** Waits until this boot is in the record; resolves to false if it is not after `waitMs`. */
-    entered(waitMs: number): Promise<boolean>;
+    waitUntilRecorded(waitMs: number): Promise<boolean>;
     /** Removes this boot from the record. */
     stop(): Promise<void>;
 }
--- a/src/members/test/members.steps.ts
+++ b/src/members/test/members.steps.ts
@@ -3,13 +3,13 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { createFakeNetwork, createFakePlatform, type FakeNetwork, type FakePlatform } from "../../../standins/fakes";
-import { createWatcher, type Watcher } from "../../platform";
+import { createKeyWatcher, type KeyWatcher } from "../../platform";
 import { createMembers, type Members } from "../index";
 
 interface Entry {
     readonly boot: string;
     readonly members: Members;
-    readonly watcher: Watcher;
+    readonly watcher: KeyWatcher;
 }
 
 interface World {
@@ -36,7 +36,7 @@
     const boot = `${name}-${run}`;
     const peers = world.network.connect({ boot, instance: name, region: "north", zone, peerUrl: `ws://${name}` });
     const platform = world.platform.connect(boot);
-    const watcher = createWatcher({ platform, watchMs: 20_000, retryMs: 100 });
+    const watcher = createKeyWatcher({ platform, watchMs: 20_000, retryMs: 100 });
     const members = createMembers({ platform, watcher, peers, retryMs: 100, listMs: 10_000 });
     const entry = { boot, members, watcher };
     world.entries.set(name, entry);
@@ -127,7 +127,7 @@
     for (const text of values) {
         const revision = this.platform.values.get(key)!.revision + 1;
         this.platform.values.set(key, { text, revision });
-        findEntry(this, "a").watcher.learn(key, { text, revision });
+        findEntry(this, "a").watcher.observe(key, { text, revision });
     }
     await this.clock.tickAsync(60_000);
 });
@@ -137,18 +137,18 @@
 });
 
 Then("{string} has ended according to {string}", function(this: World, ended: string, at: string) {
-    assert.equal(findEntry(this, at).members.isGone(findEntry(this, ended).boot), true);
+    assert.equal(findEntry(this, at).members.hasEnded(findEntry(this, ended).boot), true);
 });
 
 Then("{string} has not ended according to {string}", function(this: World, ended: string, at: string) {
     const { members } = findEntry(this, at);
-    assert.equal(members.isGone(findEntry(this, ended).boot), false);
+    assert.equal(members.hasEnded(findEntry(this, ended).boot), false);
     assert.ok(members.recorded()?.some(({ instance }) => instance === ended));
 });
 
 Then("the earlier boot of {string} has ended according to {string}", function(this: World, name: string, at: string) {
-    assert.equal(findEntry(this, at).members.isGone(`${name}-1`), true);
-    assert.equal(findEntry(this, at).members.isGone(`${name}-2`), false);
+    assert.equal(findEntry(this, at).members.hasEnded(`${name}-1`), true);
+    assert.equal(findEntry(this, at).members.hasEnded(`${name}-2`), false);
 });
 
 Then("the platform's record holds {string}", function(this: World, names: string) {
@@ -159,7 +159,7 @@
 Then(
     "{string} can prove that {string} has ended, and not that {string} has",
     async function(this: World, at: string, a: string, b: string) {
-        const proof = findEntry(this, at).members.proveGone([`${a}-1`, `${b}-1`]);
+        const proof = findEntry(this, at).members.proveEnded([`${a}-1`, `${b}-1`]);
         await this.clock.tickAsync(1000);
         assert.deepEqual([...await proof ?? []], [`${a}-1`]);
     },
--- a/src/once/createHolderAsker.ts
+++ b/src/once/createHolderAsker.ts
@@ -39,7 +39,7 @@
     return async function askHolder(question: Question, signal: AbortSignal): Promise<TaskEnd> {
         let heardAtMs = performance.now();
         while (!signal.aborted) {
-            if (members.isGone(question.boot)) {
+            if (members.hasEnded(question.boot)) {
                 return onceEnds.holderLost("the entry that took this key has ended; the task may have run");
             }
             const answer = await askOnce(question);
--- a/src/once/createTicketForwarder.ts
+++ b/src/once/createTicketForwarder.ts
@@ -36,7 +36,7 @@
         signal.addEventListener("abort", onAbort, { once: true });
         let heardAtMs = performance.now();
         try {
-            while (!members.isGone(home)) {
+            while (!members.hasEnded(home)) {
                 const body = createMessage(request, opts.askWaitMs);
                 const sent = await peers.request(home, topics.run, body, opts.askWaitMs + wayMs);
                 const answer = askAnswerSchema.safeParse(sent.orDefault(undefined)).data;
--- a/src/operators/test/operators.steps.ts
+++ b/src/operators/test/operators.steps.ts
@@ -5,7 +5,7 @@
 import { type Configuration, createConfiguration } from "../../configuration";
 import type { Problem } from "../../errors";
 import type { Plan } from "../../plans";
-import { createWatcher } from "../../platform";
+import { createKeyWatcher } from "../../platform";
 import type { Change } from "../../state";
 import { createPlanHandlers } from "../createPlanHandlers";
 import type { Handler } from "../operatorContext";
@@ -30,7 +30,7 @@
         this.network = createFakeNetwork();
         this.entries = Array.from({ length: entries }, (_, at) => {
             const platform = this.platform.connect(`boot-${at}`);
-            const watcher = createWatcher({ platform, watchMs: 1000, retryMs: 10 });
+            const watcher = createKeyWatcher({ platform, watchMs: 1000, retryMs: 10 });
             const configuration = createConfiguration({ platform, watcher });
             const zone = { region: "north", zone: "zone-a" };
             const peers = this.network.connect({ boot: `boot-${at}`, instance: `entry-${at}`, peerUrl: "", ...zone });
--- a/src/peers/chooseLinks.ts
+++ b/src/peers/chooseLinks.ts
@@ -5,12 +5,12 @@
  */
 const fullMeshPeers = 16;
 
-export interface LinkChoice {
+export interface ChooseLinksOptions {
     /** Boot of this entry. */
     readonly self: string;
     readonly others: readonly Peer[];
     /** Boot of the leader; `undefined` if there is none. */
-    readonly owner: string | undefined;
+    readonly leader: string | undefined;
 }
 
 /**
@@ -23,7 +23,7 @@
  * positions ahead. Boots are random, so the linked entries lie in all zones, and any two entries are connected over a
  * few links.
  */
-export function chooseLinks({ self, others, owner }: LinkChoice): readonly Peer[] {
+export function chooseLinks({ self, others, leader: owner }: ChooseLinksOptions): readonly Peer[] {
     if (others.length <= fullMeshPeers || owner === self) {
         return others;
     }
--- a/src/peers/createLink.ts
+++ b/src/peers/createLink.ts
@@ -1,6 +1,6 @@
 import { Packr } from "msgpackr";
 import { type RawData, WebSocket } from "ws";
-import { type Frame, frameSchema } from "./messages";
+import { type Frame, frameSchema } from "./frameSchema";
 import type { Peer } from "./peers";
 
 /** Largest frame accepted from a link, in bytes. */
@@ -23,8 +23,8 @@
     peer: Peer | undefined;
     /** Times in milliseconds since the epoch. */
     readonly openedAtMs: number;
-    heardAtMs: number;
-    sentAtMs: number;
+    lastReceivedAtMs: number;
+    lastSentAtMs: number;
     /** Returns false if the frame was not sent: the link is not open, or its peer reads too slowly. */
     write(frame: Frame): boolean;
     /** Returns `undefined` if the bytes are not a valid frame. */
@@ -37,8 +37,8 @@
         socket,
         peer: undefined,
         openedAtMs: Date.now(),
-        heardAtMs: Date.now(),
-        sentAtMs: 0,
+        lastReceivedAtMs: Date.now(),
+        lastSentAtMs: 0,
         write(frame) {
             if (socket.readyState !== WebSocket.OPEN) {
                 return false;
@@ -48,7 +48,7 @@
                 return false;
             }
             const bytes = packr.pack(frame);
-            link.sentAtMs = Date.now();
+            link.lastSentAtMs = Date.now();
             traffic.sentBytes += bytes.length;
             traffic.sentFrames++;
             socket.send(bytes, () => {});
--- a/src/peers/createPeers.ts
+++ b/src/peers/createPeers.ts
@@ -3,7 +3,7 @@
 import { WebSocket, WebSocketServer } from "ws";
 import type { Reporter } from "../logging";
 import { createLink, type Link, maxFrameBytes, type Traffic } from "./createLink";
-import type { Frame } from "./messages";
+import type { Frame } from "./frameSchema";
 import type { Peer, PeerFailure, Peers } from "./peers";
 
 /** Certificate, its private key, and the CA certificate shared by all entries, in PEM format. */
@@ -64,7 +64,7 @@
     let timer: NodeJS.Timeout | undefined;
 
     function isAlive(link: Link): boolean {
-        return Date.now() - link.heardAtMs < opts.silenceMs;
+        return Date.now() - link.lastReceivedAtMs < opts.silenceMs;
     }
 
     function findLink(boot: string): Link | undefined {
@@ -81,7 +81,7 @@
                 socket.terminate();
                 return;
             }
-            link.heardAtMs = Date.now();
+            link.lastReceivedAtMs = Date.now();
             handleFrame(link, frame);
         });
         socket.on("error", () => socket.terminate());
@@ -195,10 +195,10 @@
         const now = Date.now();
         for (const link of links) {
             const isHelloOverdue = link.peer === undefined && now - link.openedAtMs > opts.silenceMs;
-            if (isHelloOverdue || now - link.heardAtMs > opts.silenceMs * 2) {
+            if (isHelloOverdue || now - link.lastReceivedAtMs > opts.silenceMs * 2) {
                 link.socket.terminate();
             }
-            if (now - link.sentAtMs >= opts.heartbeatMs / 2) {
+            if (now - link.lastSentAtMs >= opts.heartbeatMs / 2) {
                 link.write({ kind: "heartbeat" });
             }
         }
--- a/src/peers/test/peers.steps.ts
+++ b/src/peers/test/peers.steps.ts
@@ -225,7 +225,7 @@
     const owner = names[0];
     this.links = new Map(names.map((self) => {
         const others = this.fleet.filter(({ boot }) => boot !== self);
-        return [self, chooseLinks({ self, others, owner }).map(({ boot }) => boot)];
+        return [self, chooseLinks({ self, others, leader: owner }).map(({ boot }) => boot)];
     }));
 });
 
--- a/src/platform/createWatcher.ts
+++ b/src/platform/createKeyWatcher.ts
@@ -1,7 +1,7 @@
 import { pause } from "../clock";
 import type { Platform, StoredValue } from "./platform";
 
-export interface WatcherOptions {
+export interface KeyWatcherOptions {
     readonly platform: Platform;
     /** Long-poll duration of one watch, in milliseconds. */
     readonly watchMs: number;
@@ -14,15 +14,15 @@
 export type StoredListener = (stored: StoredValue) => void;
 
 /** One long poll shared by all keys that modules of this daemon watch. */
-export interface Watcher {
+export interface KeyWatcher {
     /**
      * Calls the listener with each newer value; revisions of one key never decrease.
      * With `onRolledBack`, the key is also read periodically. If the platform was rolled back to an older value, that
      * listener is called with it, and the key is watched from its revision on.
      */
-    follow(key: string, listener: StoredListener, onRolledBack?: StoredListener): void;
+    subscribe(key: string, listener: StoredListener, onRolledBack?: StoredListener): void;
     /** Applies a value that was learned by other means, such as this daemon's own write. */
-    learn(key: string, stored: StoredValue): void;
+    observe(key: string, stored: StoredValue): void;
     /**
      * Watches the key from an older revision on. Call it only after a write has proved that the platform is at
      * that revision.
@@ -40,7 +40,7 @@
 /** Default of `verifyMs`, in milliseconds. */
 const defaultVerifyMs = 30_000;
 
-export function createWatcher(opts: WatcherOptions): Watcher {
+export function createKeyWatcher(opts: KeyWatcherOptions): KeyWatcher {
     const verifyMs = opts.verifyMs ?? defaultVerifyMs;
     const known = new Map<string, number>();
     const listeners = new Map<string, StoredListener[]>();
@@ -100,14 +100,14 @@
     }
 
     return {
-        follow(key, listener, onRolledBack) {
+        subscribe(key, listener, onRolledBack) {
             known.set(key, known.get(key) ?? 0);
             listeners.set(key, [...listeners.get(key) ?? [], listener]);
             if (onRolledBack !== undefined) {
                 rollbackListeners.set(key, onRolledBack);
             }
         },
-        learn,
+        observe: learn,
         rewind(key, revision) {
             known.set(key, revision);
         },
--- a/src/platform/createRegistration.ts
+++ b/src/platform/createRegistration.ts
@@ -13,7 +13,7 @@
      * Called when the lease may have expired and could not be renewed. Other entries may then consider this entry ended
      * and take over what it holds, so it must stop serving.
      */
-    onLapsed(): void;
+    onLeaseExpired(): void;
 }
 
 export interface Registration {
@@ -81,7 +81,7 @@
             return;
         }
         if (clocks.suspendAwareMs() > validUntilMs) {
-            opts.onLapsed();
+            opts.onLeaseExpired();
             return;
         }
         timer = setTimeout(() => void renewAndSchedule(), isRenewed ? renewMs : retryMs);
--- a/src/platform/test/platform.steps.ts
+++ b/src/platform/test/platform.steps.ts
@@ -148,7 +148,7 @@
         instance,
         boot: "boot-1",
         clocks: { steadyMs: nowMs, suspendAwareMs: nowMs },
-        onLapsed: () => this.hasLeaseExpired = true,
+        onLeaseExpired: () => this.hasLeaseExpired = true,
     });
     this.registration.start();
     await this.clock.advance(100);
--- a/src/policy/createPolicyFeed.ts
+++ b/src/policy/createPolicyWatcher.ts
@@ -1,6 +1,6 @@
 import type { Clocks } from "../clock";
 import type { Reporter } from "../logging";
-import { createFollower, type Store } from "../store";
+import { createPrefixWatcher, type Store } from "../store";
 import type { Policy, Wave } from "./policy";
 
 /** Decodes what operators write to the store; `undefined` where a value can't be decoded. */
@@ -13,7 +13,7 @@
     decodeEvacuation(key: string): string | undefined;
 }
 
-export interface PolicyFeedOptions {
+export interface PolicyWatcherOptions {
     readonly store: Store;
     readonly decoder: PolicyDecoder;
     readonly clocks: Clocks;
@@ -22,7 +22,7 @@
     onChange?(): void;
 }
 
-export interface PolicyFeed {
+export interface PolicyWatcher {
     /** The newest version seen, `undefined` before the first. It never goes back to an older version. */
     policy(): Policy | undefined;
     /** Maintenance waves, by number. */
@@ -49,7 +49,7 @@
 const watchWaitMs = 1500;
 
 /** Watches the operators' configuration, maintenance waves and evacuations in the platform's store. */
-export function createPolicyFeed(opts: PolicyFeedOptions): PolicyFeed {
+export function createPolicyWatcher(opts: PolicyWatcherOptions): PolicyWatcher {
     let policy: Policy | undefined;
     const waves = new Map<string, Wave>();
     const evacuatedZones = new Set<string>();
@@ -102,7 +102,7 @@
         }
     }
 
-    const watcher = createFollower({
+    const watcher = createPrefixWatcher({
         store: opts.store,
         prefix: opts.decoder.prefix,
         waitMs: watchWaitMs,
@@ -117,11 +117,11 @@
             }
         },
         onBatch: () => opts.onChange?.(),
-        onLost(detail) {
+        onStoreLost(detail) {
             isStoreLost = true;
             opts.report({ kind: "dependency", name: "store", state: "lost", detail });
         },
-        onRegained() {
+        onStoreRecovered() {
             isStoreLost = false;
             opts.report({ kind: "dependency", name: "store", state: "regained", detail: "" });
         },
--- a/src/policy/findRoute.ts
+++ b/src/policy/findQueue.ts
@@ -1,11 +1,11 @@
-import type { Policy, Route, Tenant } from "./policy";
+import type { Policy, QueueConfig, Tenant } from "./policy";
 
 /** Finds the queue of a request: among the queues of this host, the one with the longest matching path prefix. */
-export function findRoute(policy: Policy, host: string, path: string): Route | undefined {
+export function findQueue(policy: Policy, host: string, path: string): QueueConfig | undefined {
     const hostName = host.replace(/:\d+$/, "").toLowerCase();
-    return policy.routes
+    return policy.queues
         .filter((route) => route.host.toLowerCase() === hostName && path.startsWith(route.pathPrefix))
-        .reduce<Route | undefined>(
+        .reduce<QueueConfig | undefined>(
             (best, route) => best === undefined || route.pathPrefix.length > best.pathPrefix.length ? route : best,
             undefined,
         );
--- a/src/policy/index.ts
+++ b/src/policy/index.ts
@@ -1,5 +1,5 @@
 /** The operators' configuration in the platform's store: queues, pools, client accounts, maintenance waves, evacuations. */
-export { createPolicyFeed, type PolicyDecoder, type PolicyFeed } from "./createPolicyFeed";
-export { findRoute, findTenant } from "./findRoute";
-export { isFreshForStarts } from "./isFreshForStarts";
-export type { AdviceTerms, Policy, RequestLimits, Route, Service, Tenant, Wave } from "./policy";
+export { createPolicyWatcher, type PolicyDecoder, type PolicyWatcher } from "./createPolicyWatcher";
+export { findQueue, findTenant } from "./findQueue";
+export { isFreshEnoughToStart } from "./isFreshEnoughToStart";
+export type { AdviceConfig, Policy, PoolConfig, QueueConfig, RequestLimits, Tenant, Wave } from "./policy";
--- a/src/policy/isFreshForStarts.ts
+++ b/src/policy/isFreshEnoughToStart.ts
@@ -11,6 +11,6 @@
  *     before the first answer
  * @param evacuateMs time within which an evacuation has to be followed, in milliseconds; `undefined` where there are no evacuations
  */
-export function isFreshForStarts(ageMs: number | undefined, evacuateMs: number | undefined): boolean {
+export function isFreshEnoughToStart(ageMs: number | undefined, evacuateMs: number | undefined): boolean {
     return evacuateMs === undefined || (ageMs !== undefined && ageMs < evacuateMs - decisionToStartMs);
 }
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -1,7 +1,7 @@
 import type { Resources } from "../resources";
 
 /** Configuration of a queue: which requests it takes, the pool that runs its tasks, and how they are scheduled. */
-export interface Route {
+export interface QueueConfig {
     readonly name: string;
     readonly host: string;
     readonly pathPrefix: string;
@@ -20,18 +20,18 @@
     /** How long a request to the queue may take where the client sets no timeout. */
     readonly timeoutMs: number;
     /** If set, tasks of the queue may only run on workers that the advice service names. */
-    readonly advice: AdviceTerms | undefined;
+    readonly advice: AdviceConfig | undefined;
 }
 
 /** Times of the advice service for a queue. */
-export interface AdviceTerms {
+export interface AdviceConfig {
     readonly decisionMs: number;
     readonly perWorkerMs: number;
     readonly validityMs: number;
 }
 
 /** Configuration of a pool of machines. */
-export interface Service {
+export interface PoolConfig {
     readonly name: string;
     /** Its workers reject tasks that don't fit. Workers of other pools start every task that they are told to. */
     readonly rejectsOverload: boolean;
@@ -62,9 +62,9 @@
 /** The operators' configuration. A version is confirmed once it is in the platform's store. */
 export interface Policy {
     readonly version: number;
-    readonly routes: readonly Route[];
+    readonly queues: readonly QueueConfig[];
     /** Pools by name. */
-    readonly services: ReadonlyMap<string, Service>;
+    readonly pools: ReadonlyMap<string, PoolConfig>;
     readonly tenants: readonly Tenant[];
     readonly limits: RequestLimits;
 }
--- a/src/policy/test/policy.steps.ts
+++ b/src/policy/test/policy.steps.ts
@@ -3,12 +3,12 @@
 import { type Clock, installClock } from "../../../standins/dispatch";
 import { createFakeStore, type FakeStore } from "../../../standins/scheduling";
 import type { LogEvent } from "../../logging";
-import { createPolicyFeed, isFreshForStarts, type PolicyDecoder, type PolicyFeed } from "../index";
+import { createPolicyWatcher, isFreshEnoughToStart, type PolicyDecoder, type PolicyWatcher } from "../index";
 
 interface World {
     clock: Clock;
     store: FakeStore;
-    feed: PolicyFeed | undefined;
+    feed: PolicyWatcher | undefined;
     log: LogEvent[];
 }
 
@@ -42,7 +42,7 @@
 }
 
 Given("an entry that watches the operators' instructions", async function(this: World) {
-    this.feed = createPolicyFeed({
+    this.feed = createPolicyWatcher({
         store: this.store.connect(entryName),
         decoder,
         clocks: { steadyMs: () => performance.now(), suspendAwareMs: () => performance.now() },
@@ -108,6 +108,6 @@
     "with instructions {word} ms old and evacuations to be followed within {word} ms starts are {word}",
     function(ageText: string, boundText: string, word: string) {
         const toMs = (text: string) => text === "never" ? undefined : Number(text);
-        assert.equal(isFreshForStarts(toMs(ageText), toMs(boundText)), word === "allowed");
+        assert.equal(isFreshEnoughToStart(toMs(ageText), toMs(boundText)), word === "allowed");
     },
 );
--- a/src/progress/createProgressWriter.ts
+++ b/src/progress/createProgressWriter.ts
@@ -2,7 +2,7 @@
 import type { Tenure } from "../duties";
 import type { Reporter } from "../logging";
 import type { SubmissionEntry } from "../schedule";
-import { type Commit, type CommitResult, maxCommitEntries, type Store, type StoreItem } from "../store";
+import { type Commit, type CommitResult, maxCommitOperations, type Store, type StoreItem } from "../store";
 import { decodeRecord, encodeRecord, submissionKey } from "../submissions";
 import { encodeProgress, progressKey } from "./progressRecord";
 
@@ -40,7 +40,7 @@
 
 /** Maximum number of operations in a commit for one submission: a condition, a put and a delete. */
 const operationsPerSubmission = 3;
-const submissionsPerCommit = Math.floor((maxCommitEntries - 1) / operationsPerSubmission);
+const submissionsPerCommit = Math.floor((maxCommitOperations - 1) / operationsPerSubmission);
 
 /**
  * Maximum number of concurrent commits, each for different submissions. With a slow store, which takes 200 ms per
@@ -117,7 +117,7 @@
     async function writeBatch(batch: readonly PendingSave[]): Promise<boolean> {
         while (tenure.isValid()) {
             // A final state that is decided during this call is written by the next one.
-            const finalStates = new Map(batch.map(({ entry }) => [entry, entry.ending]));
+            const finalStates = new Map(batch.map(({ entry }) => [entry, entry.finalState]));
             const result = await store.commit(toCommit(batch.map(({ entry }) => entry)));
             switch (result.kind) {
                 case "committed":
@@ -152,12 +152,12 @@
         };
         for (const entry of entries) {
             const { id, route } = entry.submission;
-            if (entry.ending === undefined) {
+            if (entry.finalState === undefined) {
                 commit.conditions.push({ key: progressKey(id), revision: entry.progressRevision });
                 commit.puts.push({ key: progressKey(id), text: encodeProgress(entry) });
                 continue;
             }
-            const record = { kind: "final", route, state: entry.ending, endedAtMs: Date.now() } as const;
+            const record = { kind: "final", route, state: entry.finalState, endedAtMs: Date.now() } as const;
             commit.conditions.push({ key: submissionKey(id), revision: entry.revision });
             commit.puts.push({ key: submissionKey(id), text: encodeRecord(record) });
             if (entry.progressRevision > 0) {
@@ -168,7 +168,7 @@
     }
 
     function applyRevision(
-        finalStates: ReadonlyMap<SubmissionEntry, SubmissionEntry["ending"]>,
+        finalStates: ReadonlyMap<SubmissionEntry, SubmissionEntry["finalState"]>,
         revision: number,
     ): void {
         for (const [entry, finalState] of finalStates) {
@@ -192,7 +192,7 @@
             return false;
         }
         for (const { entry } of batch) {
-            if (entry.ending === undefined) {
+            if (entry.finalState === undefined) {
                 // Only this leader writes the record: an earlier commit succeeded, but its answer was lost.
                 entry.progressRevision = found.get(progressKey(entry.submission.id))?.revision ?? 0;
             }
--- a/src/runs/applyEnds.ts
+++ b/src/runs/applyEnd.ts
@@ -1,25 +1,25 @@
 import type { Policy } from "../policy";
 import {
-    type Board,
-    type Estimates,
+    type DurationEstimates,
     findTask,
-    noteFailure,
-    noteSuccess,
+    queueOf,
+    recordFailure,
+    recordSuccess,
     removeRun,
-    routeOf,
     type Run,
+    type SchedulerState,
     type SubmissionEntry,
     type Task,
     type Worker,
 } from "../schedule";
-import type { EndRow } from "./taskWorkers";
+import type { ListedEnd } from "./workerApi";
 
 /** What applying the end of a run depends on. */
 export interface EndContext {
-    readonly board: Board;
+    readonly board: SchedulerState;
     /** Current configuration; `undefined` until one has been read. */
     readonly policy: Policy | undefined;
-    readonly estimates: Estimates;
+    readonly estimates: DurationEstimates;
     readonly nowMs: number;
     /** Stops a run that is no longer needed. */
     stop(run: Run, reason: string): void;
@@ -32,7 +32,7 @@
 const defaultMaxAttempts = 2;
 
 /** Applies the end of a run as listed by a worker; returns the entry of the submission that it changed, if any. */
-export function applyEnd(worker: Worker, end: EndRow, context: EndContext): SubmissionEntry | undefined {
+export function applyEnd(worker: Worker, end: ListedEnd, context: EndContext): SubmissionEntry | undefined {
     const task = findTask(context.board, end.task);
     if (task === undefined) {
         return undefined;
@@ -57,14 +57,14 @@
         case "alone":
             break;
     }
-    return task.owner;
+    return task.entry;
 }
 
 function applyDone(worker: Worker, task: Task, run: Run | undefined, context: EndContext): void {
-    noteSuccess(worker, context.nowMs);
+    recordSuccess(worker, context.nowMs);
     if (run !== undefined && run.checkpoint === "") {
-        context.estimates.learn(
-            task.owner.submission.route,
+        context.estimates.recordDuration(
+            task.entry.submission.route,
             task.step.estimateMs,
             context.nowMs - run.plannedAtMs,
         );
@@ -83,8 +83,8 @@
 }
 
 function applyFailed(worker: Worker, task: Task, number: number, context: EndContext): void {
-    noteFailure(worker, task.owner.submission.id, context.nowMs);
-    task.failedOn.add(worker.id);
+    recordFailure(worker, task.entry.submission.id, context.nowMs);
+    task.failedWorkerIds.add(worker.id);
     task.notBeforeMs = context.nowMs + failedRetryMs;
     if (task.phase !== "waiting" || task.step.isLongRunning) {
         return;
@@ -93,12 +93,12 @@
     const failing = task.step.isGang ? membersOf(task) : [task];
     failing.forEach(({ failedRuns }) => failedRuns.add(number));
     const { policy } = context;
-    const maxAttempts = policy === undefined ? defaultMaxAttempts : routeOf(policy, task.owner.submission).maxAttempts;
+    const maxAttempts = policy === undefined ? defaultMaxAttempts : queueOf(policy, task.entry.submission).maxAttempts;
     if (task.failedRuns.size >= maxAttempts) {
         task.phase = "failed";
     }
 }
 
 function membersOf(task: Task): readonly Task[] {
-    return task.owner.occurrences[task.occurrence]?.tasks[task.stepNumber] ?? [task];
+    return task.entry.occurrences[task.occurrence]?.tasks[task.stepNumber] ?? [task];
 }
--- a/src/runs/dropEvidence.ts
+++ b/src/runs/collectDropEvidence.ts
@@ -3,7 +3,7 @@
 import { earliestWorkerMs } from "./workerClock";
 
 /** Collects what was known of the worker when one of its runs was dropped, for the log. */
-export function dropEvidence(worker: Worker, tenureStartedAtMs: number, nowMs: number): DropEvidence {
+export function collectDropEvidence(worker: Worker, tenureStartedAtMs: number, nowMs: number): DropEvidence {
     const { runList, clock, answeredAtMs, leaseUntilWorkerMs } = worker;
     const workerMs = runList.kind === "read" ? earliestWorkerMs(worker, nowMs) : undefined;
     return {
--- a/src/runs/createRelayedWorkers.ts
+++ b/src/runs/createRelayedWorkerApi.ts
@@ -1,14 +1,14 @@
 import type { Peer, PeerFailure, Peers } from "../peers";
 import type {
-    LookOrder,
-    LookResult,
     NoAnswer,
-    OrderResult,
-    StartOrder,
+    PollRequest,
+    PollResult,
+    RequestResult,
+    StartRequest,
     StartResult,
-    TaskWorkers,
+    WorkerApi,
     WorkerTarget,
-} from "./taskWorkers";
+} from "./workerApi";
 
 /** Topic of relayed calls on the peer links. */
 const relayTopic = "worker";
@@ -24,8 +24,8 @@
 
 /** A call as sent to a peer. */
 type WorkerCall =
-    | { readonly call: "start"; readonly worker: WorkerTarget; readonly order: StartOrder; }
-    | { readonly call: "look"; readonly worker: WorkerTarget; readonly order: LookOrder; }
+    | { readonly call: "start"; readonly worker: WorkerTarget; readonly order: StartRequest; }
+    | { readonly call: "look"; readonly worker: WorkerTarget; readonly order: PollRequest; }
     | {
         readonly call: "stop";
         readonly worker: WorkerTarget;
@@ -42,9 +42,9 @@
         readonly token: number;
     };
 
-export interface RelayedWorkersOptions {
+export interface RelayedWorkerApiOptions {
     /** Calls workers from this entry. */
-    readonly direct: TaskWorkers;
+    readonly direct: WorkerApi;
     readonly peers: Peers;
     /** Whether this entry is busy and should relay its calls. */
     readonly isBusy: () => boolean;
@@ -59,7 +59,7 @@
  * the leader sets tokens, leases and the order of writes. A call that a peer delays has the same bounds as one that the
  * network delays: a start by its expiry on the worker's clock, a poll by the lease that it grants.
  */
-export function createRelayedWorkers(opts: RelayedWorkersOptions): TaskWorkers {
+export function createRelayedWorkerApi(opts: RelayedWorkerApiOptions): WorkerApi {
     const { direct, peers, nowMs } = opts;
     /** Boot id of the peer that calls each worker: always the same one, so that its connections are reused. */
     const relays = new Map<string, string>();
@@ -121,12 +121,12 @@
 
     return {
         start: ({ id, address }, order) => call<StartResult>({ call: "start", worker: { id, address }, order }),
-        look: ({ id, address }, order) =>
-            call<LookResult>({ call: "look", worker: { id, address }, order }, order.waitMs),
+        poll: ({ id, address }, order) =>
+            call<PollResult>({ call: "look", worker: { id, address }, order }, order.waitMs),
         stop: ({ id, address }, task, run, token) =>
-            call<OrderResult>({ call: "stop", worker: { id, address }, task, run, token }),
+            call<RequestResult>({ call: "stop", worker: { id, address }, task, run, token }),
         pace: ({ id, address }, task, run, percent, token) =>
-            call<OrderResult>({ call: "pace", worker: { id, address }, task, run, percent, token }),
+            call<RequestResult>({ call: "pace", worker: { id, address }, task, run, percent, token }),
     };
 }
 
@@ -135,13 +135,13 @@
     return kind === "notSent" || request.call !== "start";
 }
 
-function callWorker(workers: TaskWorkers, request: WorkerCall): Promise<StartResult | LookResult | OrderResult> {
+function callWorker(workers: WorkerApi, request: WorkerCall): Promise<StartResult | PollResult | RequestResult> {
     const { worker } = request;
     switch (request.call) {
         case "start":
             return workers.start(worker, request.order);
         case "look":
-            return workers.look(worker, request.order);
+            return workers.poll(worker, request.order);
         case "stop":
             return workers.stop(worker, request.task, request.run, request.token);
         case "pace":
--- a/src/runs/createRuns.ts
+++ b/src/runs/createRunControl.ts
@@ -3,12 +3,12 @@
 import type { Reporter } from "../logging";
 import type { Run, Worker } from "../schedule";
 import { DropCause } from "./dropCause";
-import type { StartResult, TaskWorkers } from "./taskWorkers";
-import { earliestWorkerMs, longestMs, noteClock } from "./workerClock";
-import { noteLease, startValidUntilMs } from "./workerLease";
+import type { StartResult, WorkerApi } from "./workerApi";
+import { earliestWorkerMs, maxLocalMs, recordClockReading } from "./workerClock";
+import { extendLeaseBound, startValidUntilMs } from "./workerLease";
 
-export interface RunsOptions {
-    readonly api: TaskWorkers;
+export interface RunControlOptions {
+    readonly api: WorkerApi;
     readonly tenure: Tenure;
     readonly clocks: Clocks;
     readonly report: Reporter;
@@ -17,18 +17,18 @@
     /** A worker has seen a higher fencing token. */
     onFenced(): void;
     /** The worker's incarnation has ended; nothing runs there. */
-    onLifeEnded(worker: Worker, reason: string): void;
+    onIncarnationEnded(worker: Worker, reason: string): void;
     /** Permit of the advice service for a run; `undefined` where none is needed. */
     findTicket(run: Run): string | undefined;
     /** Polls a worker at once. */
-    lookNow(worker: Worker): void;
+    pollNow(worker: Worker): void;
     /** A worker has answered a start request; `tookMs` is the response time in milliseconds. */
     onStartAnswered(tookMs: number): void;
     /** Capacity or tasks have become available for planning. */
     onChange(): void;
 }
 
-export interface Runs {
+export interface RunControl {
     /** Sends the start request of a recorded run. */
     start(run: Run): Promise<void>;
     /** Stops a run; its capacity stays taken until the worker lists the end. */
@@ -44,7 +44,7 @@
 const unhealthyPauseMs = 1500;
 
 /** Sends start and stop requests to workers and applies the answers. */
-export function createRuns(opts: RunsOptions): Runs {
+export function createRunControl(opts: RunControlOptions): RunControl {
     const { api, tenure, clocks } = opts;
 
     function logRequest(run: Run, order: "start" | "stop", outcome: string): void {
@@ -82,7 +82,7 @@
                 return;
             case "otherLife":
                 opts.drop(run, DropCause.lifeEnded, "another incarnation of the worker answered the start request");
-                opts.onLifeEnded(worker, "another incarnation answered a start request");
+                opts.onIncarnationEnded(worker, "another incarnation answered a start request");
                 return;
             case "noAnswer":
                 resolveUnanswered(run, worker, sentAtMs, leaseUntilMs);
@@ -109,14 +109,14 @@
      * all the same if it has passed to a later one.
      */
     function resolveUnanswered(run: Run, worker: Worker, sentAtMs: number, leaseUntilMs: number): void {
-        if (run.seenAtMs !== undefined) {
+        if (run.firstListedAtMs !== undefined) {
             return;
         }
         markUnreachable(worker, sentAtMs);
         if (run.task.step.maxUnavailable > 0 && run.worker === worker) {
             const nowMs = clocks.steadyMs();
             const leftMs = leaseUntilMs - (earliestWorkerMs(worker, nowMs) ?? 0);
-            run.answeredAtMs = nowMs + longestMs(leftMs);
+            run.answeredAtMs = nowMs + maxLocalMs(leftMs);
             return;
         }
         stop(run, "the start request had no answer");
@@ -127,7 +127,7 @@
         const nowMs = clocks.steadyMs();
         const leaseUntilMs = startValidUntilMs(worker, nowMs);
         const isObsolete = run.phase !== "recording" || !tenure.isValid() || leaseUntilMs === undefined;
-        if (isObsolete || worker.isDraining || worker.isEvacuated || task.owner.isCancelled) {
+        if (isObsolete || worker.isDraining || worker.isEvacuated || task.entry.isCancelled) {
             opts.drop(
                 run,
                 DropCause.notOrdered,
@@ -136,11 +136,11 @@
             return;
         }
         run.phase = "starting";
-        noteLease(worker, leaseUntilMs);
+        extendLeaseBound(worker, leaseUntilMs);
         const result = await api.start(worker, {
             task: task.name,
             run: run.number,
-            payload: task.owner.submission.payload,
+            payload: task.entry.submission.payload,
             checkpoint: run.checkpoint,
             leaseUntilMs,
             token: tenure.token,
@@ -148,7 +148,7 @@
         });
         if ("workerMs" in result && result.workerMs !== undefined) {
             const answeredAtMs = clocks.steadyMs();
-            noteClock(worker, {
+            recordClockReading(worker, {
                 workerMs: result.workerMs,
                 sentAtMs: nowMs,
                 receivedAtMs: answeredAtMs,
@@ -192,22 +192,22 @@
         switch (result.kind) {
             case "taken":
                 run.answeredAtMs = clocks.steadyMs();
-                noteClock(worker, {
+                recordClockReading(worker, {
                     workerMs: result.workerMs,
                     sentAtMs,
                     receivedAtMs: run.answeredAtMs,
                     from: "stop",
                 });
-                if (run.seenAtMs === undefined) {
+                if (run.firstListedAtMs === undefined) {
                     // The start was lost or is in flight. A list requested from now on resolves it; the task can restart.
-                    opts.lookNow(run.worker);
+                    opts.pollNow(run.worker);
                 }
                 return;
             case "fenced":
                 opts.onFenced();
                 return;
             case "otherLife":
-                opts.onLifeEnded(worker, "another incarnation answered a stop request");
+                opts.onIncarnationEnded(worker, "another incarnation answered a stop request");
                 return;
             case "noAnswer":
                 run.isStopSent = false;
--- a/src/runs/createStartWindow.ts
+++ b/src/runs/createStartWindow.ts
@@ -7,7 +7,7 @@
     /** Adds runs that are about to be recorded and started. */
     add(runs: readonly Run[]): void;
     /** Adapts the window to the response time of a start request, in milliseconds. */
-    noteAnswer(tookMs: number): void;
+    recordAnswer(tookMs: number): void;
 }
 
 /** Bounds of the window, in starts. The upper one is what one planning cycle may start on an instance that keeps up. */
@@ -60,7 +60,7 @@
             return Math.max(0, Math.floor(size) - inFlight.size);
         },
         add: (runs) => runs.forEach((run) => inFlight.add(run)),
-        noteAnswer(tookMs) {
+        recordAnswer(tookMs) {
             if (tookMs < promptAnswerMs) {
                 size = Math.min(maxStarts, size + growthStarts);
             }
--- a/src/runs/createLooks.ts
+++ b/src/runs/createWorkerPolling.ts
@@ -1,22 +1,30 @@
 import { type Clocks, pause } from "../clock";
 import type { Tenure } from "../duties";
 import type { Reporter } from "../logging";
-import { type Board, findTask, isOnBoard, type Run, type SubmissionEntry, type Task, type Worker } from "../schedule";
+import {
+    findTask,
+    isCurrentIncarnation,
+    type Run,
+    type SchedulerState,
+    type SubmissionEntry,
+    type Task,
+    type Worker,
+} from "../schedule";
 import { DropCause } from "./dropCause";
-import type { EndRow, LookResult, RunningRow, TaskWorkers } from "./taskWorkers";
-import { earliestWorkerMs, noteClock } from "./workerClock";
-import { isLeaseOver, type LeaseBounds, noteEarlierLeases, noteLease, runLeaseMs } from "./workerLease";
+import type { ListedEnd, ListedRun, PollResult, WorkerApi } from "./workerApi";
+import { earliestWorkerMs, recordClockReading } from "./workerClock";
+import { areLeasesExpired, boundEarlierLeases, extendLeaseBound, type LeaseBounds, runLeaseMs } from "./workerLease";
 
-export interface LooksOptions {
-    readonly api: TaskWorkers;
+export interface WorkerPollingOptions {
+    readonly api: WorkerApi;
     readonly tenure: Tenure;
     readonly clocks: Clocks;
-    readonly board: Board;
+    readonly board: SchedulerState;
     readonly report: Reporter;
     /** Longest lease that a worker allows, in milliseconds. */
     readonly maxLeaseMs: number;
     /** Applies the end of a run; returns the submission's entry that it changed, if any. */
-    applyEnd(worker: Worker, end: EndRow): SubmissionEntry | undefined;
+    applyEnd(worker: Worker, end: ListedEnd): SubmissionEntry | undefined;
     /** Resolves with true once a submission's progress is stored, with false if the tenure has ended. */
     save(entry: SubmissionEntry): Promise<boolean>;
     /** Removes a run that can no longer run anywhere. */
@@ -26,20 +34,20 @@
     /** A worker has seen a higher fencing token. */
     onFenced(): void;
     /** The worker's incarnation has ended; nothing runs there. */
-    onLifeEnded(worker: Worker, reason: string): void;
+    onIncarnationEnded(worker: Worker, reason: string): void;
     /** Another incarnation of the worker, with the same id and address, has answered. */
-    onOtherLife(worker: Worker, bornMs: number): void;
+    onOtherIncarnation(worker: Worker, bornMs: number): void;
     /** A list has been applied. */
     onListed(worker: Worker): void;
     /** Capacity or tasks have become available for planning. */
     onChange(): void;
 }
 
-export interface Looks {
+export interface WorkerPolling {
     /** Polls a worker while it has runs or does not answer, and until its list has been read once. */
     follow(worker: Worker): void;
     /** Polls a worker at once, in addition to a long poll that waits for an end. */
-    lookNow(worker: Worker): void;
+    pollNow(worker: Worker): void;
     stop(): void;
 }
 
@@ -62,7 +70,7 @@
 const pollNowDelayMs = 5;
 
 /** Polls each worker in use in a loop of its own, to renew leases and to learn what runs and what has ended. */
-export function createLooks(opts: LooksOptions): Looks {
+export function createWorkerPolling(opts: WorkerPollingOptions): WorkerPolling {
     const { api, tenure, clocks, board } = opts;
     const followed = new Set<Worker>();
     const bounds: LeaseBounds = {
@@ -76,15 +84,15 @@
 
     function isNeeded(worker: Worker): boolean {
         const needsPoll = worker.runList.kind === "unread" || !worker.isReachable;
-        return !isIdle(worker) || (worker.isListed && needsPoll);
+        return !isIdle(worker) || (worker.isRegistered && needsPoll);
     }
 
     function isIdle(worker: Worker): boolean {
-        return worker.runs.size === 0 && worker.strays === 0;
+        return worker.runs.size === 0 && worker.strayRunCount === 0;
     }
 
     async function pollLoop(worker: Worker): Promise<void> {
-        while (!isStopped && tenure.isValid() && isNeeded(worker) && isOnBoard(board, worker)) {
+        while (!isStopped && tenure.isValid() && isNeeded(worker) && isCurrentIncarnation(board, worker)) {
             opts.sendStops(worker);
             await poll(worker, chooseWait(worker));
         }
@@ -94,7 +102,7 @@
     async function poll(worker: Worker, waitMs: number): Promise<void> {
         const sentAtMs = clocks.steadyMs();
         const leaseUntilMs = chooseLeaseEnd(worker, sentAtMs);
-        const result = await api.look(worker, {
+        const result = await api.poll(worker, {
             token: tenure.token,
             // A worker that has not answered may have restarted; its ends are then numbered from the beginning.
             ackedEnd: worker.isReachable ? worker.ackedEnd : 0,
@@ -120,7 +128,7 @@
             return undefined;
         }
         const leaseUntilMs = Math.floor(workerMs + bounds.leaseMs);
-        noteLease(worker, leaseUntilMs);
+        extendLeaseBound(worker, leaseUntilMs);
         return leaseUntilMs;
     }
 
@@ -134,13 +142,13 @@
         return isClose || runs.some(({ phase }) => phase === "unconfirmed") ? closePollWaitMs : pollWaitMs;
     }
 
-    async function applyResult(worker: Worker, result: LookResult, sentAtMs: number): Promise<void> {
+    async function applyResult(worker: Worker, result: PollResult, sentAtMs: number): Promise<void> {
         switch (result.kind) {
             case "fenced":
                 opts.onFenced();
                 return;
             case "otherLife":
-                opts.onLifeEnded(worker, "another incarnation answered a poll");
+                opts.onIncarnationEnded(worker, "another incarnation answered a poll");
                 return;
             case "noAnswer":
                 handleNoAnswer(worker, result.detail);
@@ -156,29 +164,29 @@
             worker.isReachable = false;
             opts.report({ kind: "dependency", name: `worker ${worker.id}`, state: "lost", detail });
         }
-        if (!isIdle(worker) && isLeaseOver(worker, bounds, clocks.steadyMs())) {
+        if (!isIdle(worker) && areLeasesExpired(worker, bounds, clocks.steadyMs())) {
             [...worker.runs].forEach((run) =>
                 opts.drop(run, DropCause.leaseOver, "its lease has expired on an unresponsive worker")
             );
-            worker.strays = 0;
+            worker.strayRunCount = 0;
             opts.onChange();
         }
     }
 
     async function applyList(
         worker: Worker,
-        result: Extract<LookResult, { kind: "listed"; }>,
+        result: Extract<PollResult, { kind: "listed"; }>,
         sentAtMs: number,
     ): Promise<void> {
-        if (!isOnBoard(board, worker)) {
+        if (!isCurrentIncarnation(board, worker)) {
             // Another record of the worker has its runs by now; applied to this one, the list would show only stray runs.
             return;
         }
         if (result.bornMs !== undefined && result.bornMs !== worker.bornMs) {
-            opts.onOtherLife(worker, result.bornMs);
+            opts.onOtherIncarnation(worker, result.bornMs);
             return;
         }
-        noteClock(worker, {
+        recordClockReading(worker, {
             workerMs: result.workerMs,
             sentAtMs,
             receivedAtMs: clocks.steadyMs(),
@@ -211,7 +219,7 @@
             case "unread":
                 // Without this bound, a worker that is cut off right after a change of leaders would count as empty while
                 // it still runs what the previous leader started.
-                noteEarlierLeases(worker, workerMs, bounds);
+                boundEarlierLeases(worker, workerMs, bounds);
                 worker.runList = { kind: "read", firstReadAtMs: clocks.steadyMs(), askedAtMs };
                 return;
             case "read":
@@ -219,7 +227,7 @@
         }
     }
 
-    function applyRunning(worker: Worker, rows: readonly RunningRow[]): void {
+    function applyRunning(worker: Worker, rows: readonly ListedRun[]): void {
         let strays = 0;
         for (const row of rows) {
             const task = findTask(board, row.task);
@@ -233,7 +241,7 @@
             }
             recordProgress(run, row);
         }
-        worker.strays = strays;
+        worker.strayRunCount = strays;
     }
 
     /** Reports, once, a run that was dropped although it was still running. */
@@ -244,12 +252,12 @@
         }
     }
 
-    function recordProgress(run: Run, row: RunningRow): void {
+    function recordProgress(run: Run, row: ListedRun): void {
         const nowMs = clocks.steadyMs();
         if (run.phase === "unconfirmed" || run.phase === "starting") {
             run.phase = "running";
         }
-        run.seenAtMs ??= nowMs;
+        run.firstListedAtMs ??= nowMs;
         run.answeredAtMs = Math.min(run.answeredAtMs, nowMs);
         if (row.percent > run.percent) {
             run.percent = row.percent;
@@ -265,7 +273,7 @@
         }
     }
 
-    function applyEnds(worker: Worker, ends: readonly EndRow[]): ReadonlySet<SubmissionEntry> {
+    function applyEnds(worker: Worker, ends: readonly ListedEnd[]): ReadonlySet<SubmissionEntry> {
         const changed = new Set<SubmissionEntry>();
         for (const end of ends) {
             if (end.number <= worker.ackedEnd) {
@@ -284,7 +292,7 @@
     /** Drops runs requested before the poll and listed neither as running nor as ended: they never ran and never will. */
     function dropAbsent(
         worker: Worker,
-        { running, ended, areEndsComplete }: Extract<LookResult, { kind: "listed"; }>,
+        { running, ended, areEndsComplete }: Extract<PollResult, { kind: "listed"; }>,
         sentAtMs: number,
     ): void {
         if (!areEndsComplete) {
@@ -306,14 +314,14 @@
                 void pollLoop(worker);
             }
         },
-        lookNow(worker) {
+        pollNow(worker) {
             if (pollsScheduled.has(worker)) {
                 return;
             }
             pollsScheduled.add(worker);
             setTimeout(() => {
                 pollsScheduled.delete(worker);
-                if (!isStopped && tenure.isValid() && isOnBoard(board, worker)) {
+                if (!isStopped && tenure.isValid() && isCurrentIncarnation(board, worker)) {
                     void poll(worker, 0);
                 }
             }, pollNowDelayMs);
--- a/src/runs/index.ts
+++ b/src/runs/index.ts
@@ -1,11 +1,17 @@
 /** Runs of tasks on workers: start and stop requests, polls that list runs and renew leases, and lease expiry. */
-export { applyEnd } from "./applyEnds";
-export { createLooks, type Looks } from "./createLooks";
-export { createRelayedWorkers } from "./createRelayedWorkers";
-export { createRuns, type Runs } from "./createRuns";
+export { applyEnd } from "./applyEnd";
+export { collectDropEvidence } from "./collectDropEvidence";
+export { createRelayedWorkerApi } from "./createRelayedWorkerApi";
+export { createRunControl, type RunControl } from "./createRunControl";
 export { createStartWindow, type StartWindow } from "./createStartWindow";
+export { createWorkerPolling, type WorkerPolling } from "./createWorkerPolling";
 export { DropCause } from "./dropCause";
-export { dropEvidence } from "./dropEvidence";
-export * from "./taskWorkers";
-export { earliestWorkerMs, latestWorkerMs, longestMs, noteClock } from "./workerClock";
-export { isLeaseOver, type LeaseBounds, noteEarlierLeases, noteLease, startValidUntilMs } from "./workerLease";
+export * from "./workerApi";
+export { earliestWorkerMs, latestWorkerMs, maxLocalMs, recordClockReading } from "./workerClock";
+export {
+    areLeasesExpired,
+    boundEarlierLeases,
+    extendLeaseBound,
+    type LeaseBounds,
+    startValidUntilMs,
+} from "./workerLease";
--- a/src/runs/test/looks.steps.ts
+++ b/src/runs/test/looks.steps.ts
@@ -6,23 +6,23 @@
     addDueOccurrences,
     addRun,
     addSubmission,
-    type Board,
-    createBoard,
+    createSchedulerState,
     createWorker,
     type RunPhase,
+    type SchedulerState,
     tasksOf,
     type Worker,
 } from "../../schedule";
-import { createLooks, type LookResult, type Looks, type TaskWorkers } from "../index";
+import { createWorkerPolling, type PollResult, type WorkerApi, type WorkerPolling } from "../index";
 
 interface World {
     /** Installed by a hook for all scenarios of this folder. */
     clock: Clock;
-    board: Board;
+    board: SchedulerState;
     worker: Worker;
-    polling: Looks;
+    polling: WorkerPolling;
     pollCount: number;
-    answer: (result: LookResult) => void;
+    answer: (result: PollResult) => void;
     stopped: string[];
     dropped: string[];
     task: string;
@@ -35,26 +35,26 @@
 const listedClockMs = 1;
 
 function addWorker(world: World): Worker {
-    const worker = { ...createWorker(id, bornMs), address: id, isListed: true };
+    const worker = { ...createWorker(id, bornMs), address: id, isRegistered: true };
     world.board.workers.set(id, worker);
     return worker;
 }
 
-function createTestPolling(world: World): Looks {
+function createTestPolling(world: World): WorkerPolling {
     const taken = { kind: "taken", workerMs: 1 } as const;
-    const api: TaskWorkers = {
+    const api: WorkerApi = {
         start: () => Promise.resolve({ kind: "started", workerMs: 1 }),
         stop: (_worker, task) => {
             world.stopped.push(task);
             return Promise.resolve(taken);
         },
         pace: () => Promise.resolve(taken),
-        look: () => {
+        poll: () => {
             world.pollCount++;
             return new Promise((resolve) => world.answer = resolve);
         },
     };
-    return createLooks({
+    return createWorkerPolling({
         api,
         tenure: { token: 1, condition: { key: "", revision: 1 }, isValid: () => true },
         clocks: { steadyMs: () => performance.now(), suspendAwareMs: () => performance.now() },
@@ -66,15 +66,15 @@
         drop: ({ task }) => world.dropped.push(task.name),
         sendStops() {},
         onFenced() {},
-        onLifeEnded() {},
-        onOtherLife() {},
+        onIncarnationEnded() {},
+        onOtherIncarnation() {},
         onListed() {},
         onChange() {},
     });
 }
 
 Given("a worker with a poll in flight", async function(this: World) {
-    this.board = createBoard();
+    this.board = createSchedulerState();
     this.pollCount = 0;
     this.stopped = [];
     this.dropped = [];
@@ -86,7 +86,7 @@
 });
 
 When("an immediate poll is requested", function(this: World) {
-    this.polling.lookNow(this.worker);
+    this.polling.pollNow(this.worker);
 });
 
 When("another record replaces the worker's", function(this: World) {
--- a/src/runs/test/relayedWorkers.steps.ts
+++ b/src/runs/test/relayedWorkers.steps.ts
@@ -2,12 +2,18 @@
 import assert from "node:assert/strict";
 import { type Clock, installClock } from "../../../standins/dispatch";
 import { createFakeNetwork, type FakeNetwork } from "../../../standins/fakes";
-import { createRelayedWorkers, type StartOrder, type StartResult, type TaskWorkers, type WorkerTarget } from "../index";
+import {
+    createRelayedWorkerApi,
+    type StartRequest,
+    type StartResult,
+    type WorkerApi,
+    type WorkerTarget,
+} from "../index";
 
 interface Call {
     readonly by: string;
     readonly worker: string;
-    readonly order?: StartOrder;
+    readonly order?: StartRequest;
 }
 
 interface World {
@@ -15,12 +21,12 @@
     network: FakeNetwork;
     isBusy: boolean;
     calls: Call[];
-    workers: TaskWorkers;
+    workers: WorkerApi;
     peerNames: readonly string[];
     start: StartResult | undefined;
 }
 
-const startOrder: StartOrder = {
+const startOrder: StartRequest = {
     task: "5c0e7a21d94b36f8.0.0.0",
     run: 2,
     payload: "payload",
@@ -43,8 +49,8 @@
 });
 
 /** Workers that record which entry called them. */
-function createRecordingWorkers(world: World, by: string): TaskWorkers {
-    const record = ({ id }: WorkerTarget, order?: StartOrder) =>
+function createRecordingWorkers(world: World, by: string): WorkerApi {
+    const record = ({ id }: WorkerTarget, order?: StartRequest) =>
         world.calls.push({ by, worker: id, ...order === undefined ? {} : { order } });
     const taken = { kind: "taken", workerMs: 1 } as const;
     return {
@@ -52,7 +58,7 @@
             record(worker, order);
             return Promise.resolve({ kind: "started", workerMs: 1 });
         },
-        look(worker) {
+        poll(worker) {
             record(worker);
             return Promise.resolve({
                 kind: "listed",
@@ -74,9 +80,9 @@
     };
 }
 
-function addEntry(world: World, boot: string): TaskWorkers {
+function addEntry(world: World, boot: string): WorkerApi {
     const peers = world.network.connect({ boot, instance: boot, region: "r", zone: "z", peerUrl: `ws://${boot}` });
-    return createRelayedWorkers({
+    return createRelayedWorkerApi({
         direct: createRecordingWorkers(world, boot),
         peers,
         isBusy: () => world.isBusy,
@@ -104,7 +110,7 @@
 
 When("it polls {int} worker/workers", async function(this: World, count: number) {
     const order = { token: 7, ackedEnd: 0, leaseUntilMs: 4500, waitMs: 0 };
-    const polls = Array.from({ length: count }, (_, at) => this.workers.look({ id: `w${at}`, address: "" }, order));
+    const polls = Array.from({ length: count }, (_, at) => this.workers.poll({ id: `w${at}`, address: "" }, order));
     await this.clock.advance(1000);
     (await Promise.all(polls)).forEach(({ kind }) => assert.equal(kind, "listed"));
 });
--- a/src/runs/test/startWindow.steps.ts
+++ b/src/runs/test/startWindow.steps.ts
@@ -17,7 +17,7 @@
 });
 
 When("{int} starts are sent and answered after {int} ms each", function(this: World, count: number, ms: number) {
-    Array.from({ length: count }, () => this.window.noteAnswer(ms));
+    Array.from({ length: count }, () => this.window.recordAnswer(ms));
 });
 
 When(
@@ -25,7 +25,7 @@
     function(this: World, count: number, ms: number) {
         for (let at = 0; at < count; at++) {
             this.nowMs += ms;
-            this.window.noteAnswer(ms);
+            this.window.recordAnswer(ms);
         }
     },
 );
--- a/src/runs/test/workerClock.steps.ts
+++ b/src/runs/test/workerClock.steps.ts
@@ -1,7 +1,7 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
 import { createWorker, type Worker } from "../../schedule";
-import { noteClock } from "../workerClock";
+import { recordClockReading } from "../workerClock";
 
 interface World {
     worker: Worker;
@@ -11,14 +11,14 @@
     "a worker whose clock shows {int} at {int} ms, with leases until {int}",
     function(this: World, workerMs: number, atMs: number, leaseUntilWorkerMs: number) {
         this.worker = { ...createWorker("worker-1", 1), leaseUntilWorkerMs };
-        noteClock(this.worker, { workerMs, sentAtMs: atMs, receivedAtMs: atMs, from: "list" });
+        recordClockReading(this.worker, { workerMs, sentAtMs: atMs, receivedAtMs: atMs, from: "list" });
     },
 );
 
 When(
     "its clock shows {int} in an answer at {int} ms to a call of {int} ms",
     function(this: World, workerMs: number, receivedAtMs: number, sentAtMs: number) {
-        noteClock(this.worker, { workerMs, sentAtMs, receivedAtMs, from: "start" });
+        recordClockReading(this.worker, { workerMs, sentAtMs, receivedAtMs, from: "start" });
     },
 );
 
--- a/src/runs/test/workerLease.steps.ts
+++ b/src/runs/test/workerLease.steps.ts
@@ -2,12 +2,12 @@
 import assert from "node:assert/strict";
 import { createWorker, type Worker } from "../../schedule";
 import {
+    areLeasesExpired,
+    boundEarlierLeases,
     earliestWorkerMs,
-    isLeaseOver,
+    extendLeaseBound,
     type LeaseBounds,
-    noteClock,
-    noteEarlierLeases,
-    noteLease,
+    recordClockReading,
     startValidUntilMs,
 } from "../index";
 
@@ -28,7 +28,7 @@
 function answer(worker: World["leaseWorker"], ageMs: number, from: "stop" | "list"): number {
     const atMs = tenureStartedAtMs + ageMs;
     const workerMs = atMs + clockAheadMs;
-    noteClock(worker, { workerMs, sentAtMs: atMs, receivedAtMs: atMs, from });
+    recordClockReading(worker, { workerMs, sentAtMs: atMs, receivedAtMs: atMs, from });
     return workerMs;
 }
 
@@ -48,13 +48,13 @@
 Given(
     "a worker that has answered a stop and got a lease of {int} ms at {int} ms",
     function(this: World, leaseMs: number, ageMs: number) {
-        noteLease(this.leaseWorker, answer(this.leaseWorker, ageMs, "stop") + leaseMs);
+        extendLeaseBound(this.leaseWorker, answer(this.leaseWorker, ageMs, "stop") + leaseMs);
     },
 );
 
 Given("a worker that has listed its runs at {int} ms", function(this: World, ageMs: number) {
     const askedAtMs = tenureStartedAtMs + ageMs;
-    noteEarlierLeases(this.leaseWorker, answer(this.leaseWorker, ageMs, "list"), this.bounds);
+    boundEarlierLeases(this.leaseWorker, answer(this.leaseWorker, ageMs, "list"), this.bounds);
     this.leaseWorker.runList = { kind: "read", firstReadAtMs: askedAtMs, askedAtMs };
 });
 
@@ -76,5 +76,5 @@
 );
 
 Then(/^its leases have (expired|not expired)$/, function(this: World, state: string) {
-    assert.equal(isLeaseOver(this.leaseWorker, this.bounds, this.nowMs), state === "expired");
+    assert.equal(areLeasesExpired(this.leaseWorker, this.bounds, this.nowMs), state === "expired");
 });
--- a/src/runs/taskWorkers.ts
+++ b/src/runs/workerApi.ts
@@ -5,7 +5,7 @@
 }
 
 /** Request to start a run of a task. */
-export interface StartOrder {
+export interface StartRequest {
     readonly task: string;
     readonly run: number;
     readonly payload: string;
@@ -26,7 +26,7 @@
 }
 
 /** Another worker, or another incarnation of it, is at this address; the intended one has ended. */
-export interface OtherLife {
+export interface OtherIncarnation {
     readonly kind: "otherLife";
 }
 
@@ -43,13 +43,17 @@
         readonly workerMs: number | undefined;
     }
     | Fenced
-    | OtherLife
+    | OtherIncarnation
     | NoAnswer;
 
-export type OrderResult = { readonly kind: "taken"; readonly workerMs: number; } | Fenced | OtherLife | NoAnswer;
+export type RequestResult =
+    | { readonly kind: "taken"; readonly workerMs: number; }
+    | Fenced
+    | OtherIncarnation
+    | NoAnswer;
 
 /** A run in a worker's list of what runs. */
-export interface RunningRow {
+export interface ListedRun {
     readonly task: string;
     readonly run: number;
     readonly checkpoint: string;
@@ -61,7 +65,7 @@
 export type EndKind = "done" | "failed" | "stopped" | "lapsed" | "broken" | "alone";
 
 /** The end of a run, listed by its worker until it is acknowledged. */
-export interface EndRow {
+export interface ListedEnd {
     /** Sequence number; rises by one with each end in an incarnation. */
     readonly number: number;
     readonly task: string;
@@ -71,7 +75,7 @@
 }
 
 /** Long poll that lists what runs and what has ended, and renews leases. */
-export interface LookOrder {
+export interface PollRequest {
     /** Fencing token of the tenure. */
     readonly token: number;
     /** Sequence number up to which the worker may discard ends. */
@@ -82,29 +86,29 @@
     readonly waitMs: number;
 }
 
-export type LookResult =
+export type PollResult =
     | {
         readonly kind: "listed";
         readonly workerMs: number;
         /** Start of the worker's incarnation, in milliseconds since 1970; `undefined` if it does not report it. */
         readonly bornMs: number | undefined;
-        readonly running: readonly RunningRow[];
-        readonly ended: readonly EndRow[];
+        readonly running: readonly ListedRun[];
+        readonly ended: readonly ListedEnd[];
         /** Whether `ended` has all unacknowledged ends; a worker limits how many it lists at a time. */
         readonly areEndsComplete: boolean;
     }
     | Fenced
-    | OtherLife
+    | OtherIncarnation
     | NoAnswer;
 
 /** Client of the workers. Implementations make no decisions and do not retry. */
-export interface TaskWorkers {
+export interface WorkerApi {
     /** Starts a run. */
-    start(worker: WorkerTarget, order: StartOrder): Promise<StartResult>;
+    start(worker: WorkerTarget, order: StartRequest): Promise<StartResult>;
     /** Stops a run, or prevents one that has not arrived yet from starting. */
-    stop(worker: WorkerTarget, task: string, run: number, token: number): Promise<OrderResult>;
+    stop(worker: WorkerTarget, task: string, run: number, token: number): Promise<RequestResult>;
     /** Lists what runs and what has ended, and renews leases. */
-    look(worker: WorkerTarget, order: LookOrder): Promise<LookResult>;
+    poll(worker: WorkerTarget, order: PollRequest): Promise<PollResult>;
     /** Sets the pace of a run, in percent. */
-    pace(worker: WorkerTarget, task: string, run: number, percent: number, token: number): Promise<OrderResult>;
+    pace(worker: WorkerTarget, task: string, run: number, percent: number, token: number): Promise<RequestResult>;
 }
--- a/src/runs/workerClock.ts
+++ b/src/runs/workerClock.ts
@@ -4,7 +4,7 @@
 const minClockRate = 0.98;
 
 /** Records a reading of a worker's clock from an answer. A reading received before the recorded one is ignored. */
-export function noteClock(worker: Worker, reading: ClockReading): void {
+export function recordClockReading(worker: Worker, reading: ClockReading): void {
     worker.answeredAtMs = Math.max(worker.answeredAtMs, reading.receivedAtMs);
     if (worker.clock !== undefined && hasRestarted(worker.clock, reading)) {
         // Lease bounds on the earlier incarnation's clock do not hold for this one, which may run what that one was sent.
@@ -32,6 +32,6 @@
 }
 
 /** Longest local time, in milliseconds, in which the given span passes on the worker's clock. */
-export function longestMs(workerSpanMs: number): number {
+export function maxLocalMs(workerSpanMs: number): number {
     return workerSpanMs / minClockRate;
 }
--- a/src/runs/workerLease.ts
+++ b/src/runs/workerLease.ts
@@ -1,5 +1,5 @@
 import type { Worker } from "../schedule";
-import { earliestWorkerMs, latestWorkerMs, longestMs } from "./workerClock";
+import { earliestWorkerMs, latestWorkerMs, maxLocalMs } from "./workerClock";
 
 /** What a tenure knows about the leases of runs on workers. */
 export interface LeaseBounds {
@@ -42,7 +42,7 @@
 }
 
 /** Raises the upper bound of the worker's leases to a time on its clock; called before the request that may extend them. */
-export function noteLease(worker: Worker, untilWorkerMs: number): void {
+export function extendLeaseBound(worker: Worker, untilWorkerMs: number): void {
     worker.leaseUntilWorkerMs = Math.max(worker.leaseUntilWorkerMs, untilWorkerMs);
 }
 
@@ -50,8 +50,8 @@
  * Raises the upper bound to the longest lease that earlier leaders may have granted. To be called once the worker has seen
  * this tenure's token and so refuses their requests.
  */
-export function noteEarlierLeases(worker: Worker, workerMs: number, { leaseMs }: LeaseBounds): void {
-    noteLease(worker, workerMs + leaseMs + inFlightRequestsMs);
+export function boundEarlierLeases(worker: Worker, workerMs: number, { leaseMs }: LeaseBounds): void {
+    extendLeaseBound(worker, workerMs + leaseMs + inFlightRequestsMs);
 }
 
 /**
@@ -60,13 +60,13 @@
  * Until the worker has listed its runs, leases of earlier leaders are bounded only by the age of the tenure. A reading of
  * its clock, which any answer contains, tells nothing about them.
  */
-export function isLeaseOver(worker: Worker, bounds: LeaseBounds, nowMs: number): boolean {
+export function areLeasesExpired(worker: Worker, bounds: LeaseBounds, nowMs: number): boolean {
     const workerMs = earliestWorkerMs(worker, nowMs);
     const areKnownExpired = (workerMs === undefined || workerMs > worker.leaseUntilWorkerMs)
         && areInheritedExpired(worker, bounds, nowMs);
     switch (worker.runList.kind) {
         case "unread": {
-            const earlierLeftMs = longestMs(bounds.leaseMs + inFlightRequestsMs) - (nowMs - bounds.tenureStartedAtMs);
+            const earlierLeftMs = maxLocalMs(bounds.leaseMs + inFlightRequestsMs) - (nowMs - bounds.tenureStartedAtMs);
             return areKnownExpired && earlierLeftMs < 0;
         }
         case "read":
@@ -76,5 +76,5 @@
 
 /** A request valid by an earlier incarnation's clock may have granted the longest lease that a worker allows. */
 function areInheritedExpired({ inheritedAtMs }: Worker, { maxLeaseMs }: LeaseBounds, nowMs: number): boolean {
-    return inheritedAtMs === undefined || nowMs - inheritedAtMs > longestMs(maxLeaseMs + inFlightRequestsMs);
+    return inheritedAtMs === undefined || nowMs - inheritedAtMs > maxLocalMs(maxLeaseMs + inFlightRequestsMs);
 }
--- a/src/schedule/createWorker.ts
+++ b/src/schedule/createWorker.ts
@@ -1,4 +1,4 @@
-import type { Worker } from "./board";
+import type { Worker } from "./schedulerState";
 import { createOutcomes } from "./workerHealth";
 
 /** Creates the state of a worker of which only the id and the incarnation are known. */
@@ -14,7 +14,7 @@
         capacity: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
         isDraining: false,
         drainLeftMs: 0,
-        isListed: false,
+        isRegistered: false,
         runList: { kind: "unread" },
         isReachable: true,
         isEvacuated: false,
@@ -26,7 +26,7 @@
         ackedEnd: 0,
         runs: new Set(),
         used: { cpuMillis: 0, memoryMb: 0, accelerators: 0 },
-        strays: 0,
+        strayRunCount: 0,
         outcomes: createOutcomes(),
         idleSinceMs: 0,
     };
--- a/src/schedule/paceOfWork.ts
+++ b/src/schedule/desiredCpuMillis.ts
@@ -1,4 +1,4 @@
-import type { Outlook } from "./board";
+import type { RemainingEstimate } from "./schedulerState";
 
 /** Minimum span, in milliseconds: for anything shorter, sending the start request takes most of the time. */
 const minSpanMs = 100;
@@ -16,8 +16,8 @@
  * are too short. The work of a submission that is already late is divided by the time in which it still earns
  * something.
  */
-export function paceOfWorkCpuMillis(
-    { workCoreMs, chainMs: criticalPathMs }: Outlook,
+export function desiredCpuMillis(
+    { workCoreMs, criticalPathMs }: RemainingEstimate,
     targetAgeMs: number,
     ageMs: number,
 ): number {
--- a/src/schedule/estimates.ts
+++ b/src/schedule/estimates.ts
@@ -1,12 +1,12 @@
-import type { Occurrence, Run, SubmissionEntry, Task } from "./board";
-import { isStepReady } from "./entries";
+import type { Occurrence, Run, SubmissionEntry, Task } from "./schedulerState";
+import { isStepReady } from "./submissionEntries";
 
 /** Estimates run durations from declared durations, corrected by the observed ratio of each queue. */
-export interface Estimates {
+export interface DurationEstimates {
     /** Records the actual duration of a run that ended as done, in milliseconds. */
-    learn(queue: string, declaredMs: number, tookMs: number): void;
+    recordDuration(queue: string, declaredMs: number, tookMs: number): void;
     /** Expected duration of one run of the task, in milliseconds. */
-    expectMs(task: Task): number;
+    expectedDurationMs(task: Task): number;
 }
 
 /** Weight of a new sample in the moving average: about the last 20 runs count. */
@@ -23,22 +23,22 @@
  * for a whole queue or for single tasks. The moving average corrects the error of the queue. Ranking and speculative
  * runs use the result.
  */
-export function createEstimates(): Estimates {
+export function createDurationEstimates(): DurationEstimates {
     const ratios = new Map<string, number>();
     return {
-        learn(queue, declaredMs, tookMs) {
+        recordDuration(queue, declaredMs, tookMs) {
             const ratio = Math.min(maxRatio, Math.max(1 / maxRatio, tookMs / Math.max(1, declaredMs)));
             const known = ratios.get(queue) ?? 1;
             ratios.set(queue, known + (ratio - known) * sampleWeight);
         },
-        expectMs({ owner: entry, step }) {
+        expectedDurationMs({ entry, step }) {
             return (step.estimateMs || defaultTaskMs) * (ratios.get(entry.submission.route) ?? 1);
         },
     };
 }
 
 /** Remaining work of a submission, in core-milliseconds; long-running tasks don't count. */
-export function remainingWork(entry: SubmissionEntry, estimates: Estimates): number {
+export function remainingWorkCoreMs(entry: SubmissionEntry, estimates: DurationEstimates): number {
     let work = 0;
     for (const { tasks } of entry.occurrences) {
         for (const step of tasks) {
@@ -47,19 +47,19 @@
                 continue;
             }
             const left = step.reduce((sum, task) => task.phase === "done" ? sum : sum + 1 - doneShare(task.runs), 0);
-            work += left * estimates.expectMs(first) * first.step.size.cpuMillis / 1000;
+            work += left * estimates.expectedDurationMs(first) * first.step.size.cpuMillis / 1000;
         }
     }
     return work;
 }
 
 /** Shortest time in which a submission can still end, in milliseconds: the remaining length of its critical path. */
-export function remainingChainMs(entry: SubmissionEntry, estimates: Estimates): number {
+export function remainingCriticalPathMs(entry: SubmissionEntry, estimates: DurationEstimates): number {
     return Math.max(0, ...entry.occurrences.map((occurrence) => criticalPathMs(occurrence, estimates, remainingShare)));
 }
 
 /** Length of a submission's critical path over all steps, done or not, in milliseconds. */
-export function wholeChainMs({ occurrences }: SubmissionEntry, estimates: Estimates): number {
+export function fullCriticalPathMs({ occurrences }: SubmissionEntry, estimates: DurationEstimates): number {
     const [first] = occurrences;
     return first === undefined ? 0 : criticalPathMs(first, estimates, () => 1);
 }
@@ -71,14 +71,14 @@
  */
 function criticalPathMs(
     { tasks }: Occurrence,
-    estimates: Estimates,
+    estimates: DurationEstimates,
     shareOf: (step: readonly Task[]) => number,
 ): number {
     const endsMs: number[] = [];
     for (const step of tasks) {
         const first = step[0];
         const startMs = Math.max(0, ...(first?.step.after ?? []).map((earlier) => endsMs[earlier] ?? 0));
-        endsMs.push(startMs + (first === undefined ? 0 : shareOf(step) * estimates.expectMs(first)));
+        endsMs.push(startMs + (first === undefined ? 0 : shareOf(step) * estimates.expectedDurationMs(first)));
     }
     return Math.max(0, ...endsMs);
 }
--- a/src/schedule/index.ts
+++ b/src/schedule/index.ts
@@ -1,6 +1,22 @@
 /** Scheduling decisions, without I/O or clock: which tasks wait, in which order they start, and on which worker. */
-export * from "./board";
 export { createWorker } from "./createWorker";
+export { desiredCpuMillis } from "./desiredCpuMillis";
+export { estimateRemaining, targetAgeMs } from "./estimateRemaining";
+export {
+    createDurationEstimates,
+    type DurationEstimates,
+    remainingCriticalPathMs,
+    remainingWorkCoreMs,
+    waitingCpuMillis,
+} from "./estimates";
+export { isWithinTenantLimit } from "./isWithinTenantLimit";
+export { acceptsNewWork, fitsCapacity, hasFreeCapacity, isEligible, isInService, placeTask } from "./placeTask";
+export { planSpeculativeRuns } from "./planSpeculativeRuns";
+export { groupByPool, listAdviceCandidates, planStarts } from "./planStarts";
+export { queueOf } from "./queueOf";
+export { listPlacementUnits, type PlacementUnit, type RankedEntry, rankSubmissions } from "./rankSubmissions";
+export { addRun, moveRun, removeRun } from "./runs";
+export * from "./schedulerState";
 export {
     addDueOccurrences,
     addOccurrence,
@@ -12,16 +28,12 @@
     occurrenceCount,
     taskName,
     tasksOf,
-} from "./entries";
-export { createEstimates, type Estimates, remainingChainMs, remainingWork, waitingCpuMillis } from "./estimates";
-export { hasTenantRoom } from "./hasTenantRoom";
-export { lookAhead, targetAgeMs } from "./lookAhead";
-export { listUnits, orderWork, type RankedEntry, type Unit } from "./orderWork";
-export { paceOfWorkCpuMillis } from "./paceOfWork";
-export { fitsEmpty, hasRoom, isEligible, isInService, isOpen, placeTask } from "./placeTask";
-export { planCopies } from "./planCopies";
-export { groupByPool, listAdviceCandidates, planStarts } from "./planStarts";
-export { routeOf } from "./routeOf";
-export { addRun, moveRun, removeRun } from "./runs";
-export { isSuspect, noteFailure, noteSuccess, quarantine } from "./workerHealth";
-export { isOnBoard, type LifeEnded, removeWorker, replaceLife, takeLife } from "./workerLives";
+} from "./submissionEntries";
+export { isSuspect, quarantine, recordFailure, recordSuccess } from "./workerHealth";
+export {
+    ensureIncarnation,
+    isCurrentIncarnation,
+    type OnIncarnationEnded,
+    removeWorker,
+    replaceIncarnation,
+} from "./workerIncarnations";
--- a/src/schedule/hasTenantRoom.ts
+++ b/src/schedule/isWithinTenantLimit.ts
@@ -1,13 +1,13 @@
 import type { Resources } from "../resources";
-import type { Board } from "./board";
+import type { SchedulerState } from "./schedulerState";
 
 /**
  * Whether a client account may run `count` more tasks of a size within its limit over all workers.
  *
  * @param cap the account's limit; 0 in a dimension: no limit there; `undefined`: no limit at all
  */
-export function hasTenantRoom(
-    { tenantUse }: Board,
+export function isWithinTenantLimit(
+    { tenantUse }: SchedulerState,
     tenant: string | undefined,
     cap: Resources | undefined,
     size: Resources,
--- a/src/schedule/placeTask.ts
+++ b/src/schedule/placeTask.ts
@@ -1,6 +1,6 @@
 import type { Resources } from "../resources";
-import type { Task, Worker } from "./board";
-import { isSound } from "./workerHealth";
+import type { Task, Worker } from "./schedulerState";
+import { isHealthyFor } from "./workerHealth";
 
 export interface PlaceOptions {
     readonly workers: readonly Worker[];
@@ -8,11 +8,11 @@
     /** Ids of the workers that may run the step; `undefined`: all. */
     readonly allowed?: ReadonlySet<string> | undefined;
     /** Workers that already have a run of the task. */
-    readonly avoid?: ReadonlySet<Worker>;
+    readonly excluded?: ReadonlySet<Worker>;
 }
 
 /** Whether a worker has enough free capacity for a task, given what is reserved on it. */
-export function hasRoom(worker: Worker, { step }: Task): boolean {
+export function hasFreeCapacity(worker: Worker, { step }: Task): boolean {
     const { used, capacity } = worker;
     const cpuMillis = step.isFiller ? 0 : step.size.cpuMillis;
     return used.cpuMillis + cpuMillis <= capacity.cpuMillis
@@ -21,32 +21,32 @@
 }
 
 /** Whether a task fits on an empty worker of a capacity. */
-export function fitsEmpty(capacity: Resources, { step }: Task): boolean {
+export function fitsCapacity(capacity: Resources, { step }: Task): boolean {
     return step.size.cpuMillis <= capacity.cpuMillis
         && step.size.memoryMb <= capacity.memoryMb
         && step.size.accelerators <= capacity.accelerators;
 }
 
 /** Whether a worker may get new work at all. */
-export function isOpen(worker: Worker): boolean {
+export function acceptsNewWork(worker: Worker): boolean {
     return isInService(worker) && !worker.isEvacuated;
 }
 
 /** Whether the state of a worker and its machine allows new work; evacuation of its zone is not considered. */
 export function isInService(worker: Worker): boolean {
-    return worker.isListed && worker.runList.kind === "read" && worker.isReachable && !worker.isDraining
+    return worker.isRegistered && worker.runList.kind === "read" && worker.isReachable && !worker.isDraining
         && !worker.isReserved
-        && worker.strays === 0;
+        && worker.strayRunCount === 0;
 }
 
 /** Whether a worker may run a task; free capacity is not considered. */
 export function isEligible(worker: Worker, task: Task, opts: PlaceOptions): boolean {
     const { step } = task;
-    return isOpen(worker)
+    return acceptsNewWork(worker)
         && (step.workerLabel === undefined || worker.labels.includes(step.workerLabel))
         && opts.allowed?.has(worker.id) !== false
-        && opts.avoid?.has(worker) !== true
-        && isSound(worker, task, opts.nowMs)
+        && opts.excluded?.has(worker) !== true
+        && isHealthyFor(worker, task, opts.nowMs)
         && (step.maxPerWorker === 0 || countSiblings(worker, task) < step.maxPerWorker);
 }
 
@@ -55,7 +55,7 @@
     let count = 0;
     for (const run of worker.runs) {
         const other = run.task;
-        if (other.owner === task.owner && other.occurrence === task.occurrence && other.step === task.step) {
+        if (other.entry === task.entry && other.occurrence === task.occurrence && other.step === task.step) {
             count++;
         }
     }
@@ -79,7 +79,7 @@
     let best: Worker | undefined;
     let bestScore = Number.NEGATIVE_INFINITY;
     for (const worker of opts.workers) {
-        if (!hasRoom(worker, task) || !isEligible(worker, task, opts)) {
+        if (!hasFreeCapacity(worker, task) || !isEligible(worker, task, opts)) {
             continue;
         }
         const score = scoreWorker(worker, task);
@@ -103,12 +103,12 @@
     if (step.dataRack !== undefined && worker.rack === step.dataRack) {
         score += dataRackScore;
     }
-    if (task.failedOn.has(worker.id)) {
+    if (task.failedWorkerIds.has(worker.id)) {
         score -= failedBeforePenalty;
     }
     if (!step.isLongRunning) {
         score += hasLongRunning(worker) ? longRunningScore : 0;
-        score += worker.zone === task.owner.zone ? sameZoneScore : 0;
+        score += worker.zone === task.entry.zone ? sameZoneScore : 0;
     }
     return score;
 }
--- a/src/schedule/planCopies.ts
+++ b/src/schedule/planSpeculativeRuns.ts
@@ -1,15 +1,15 @@
 import type { Submission } from "../submissions";
-import type { Board, Run, Task, Worker } from "./board";
-import { tasksOf } from "./entries";
-import type { Estimates } from "./estimates";
+import type { DurationEstimates } from "./estimates";
 import { placeTask } from "./placeTask";
 import { addRun } from "./runs";
+import type { Run, SchedulerState, Task, Worker } from "./schedulerState";
+import { tasksOf } from "./submissionEntries";
 
-export interface CopyOptions {
-    readonly board: Board;
+export interface SpeculationOptions {
+    readonly state: SchedulerState;
     readonly workersOf: (pool: string) => readonly Worker[];
     readonly poolOf: (submission: Submission) => string;
-    readonly estimates: Estimates;
+    readonly estimates: DurationEstimates;
     readonly nowMs: number;
 }
 
@@ -31,10 +31,10 @@
  * dropped only when its lease must have expired, seconds after the step should have ended. A speculative run need not
  * wait for that.
  */
-export function planCopies(opts: CopyOptions): readonly Run[] {
+export function planSpeculativeRuns(opts: SpeculationOptions): readonly Run[] {
     const speculativeRuns: Run[] = [];
-    for (const entry of opts.board.submissions.values()) {
-        if (entry.ending !== undefined || !hasSpeculativeStep(entry.submission.steps)) {
+    for (const entry of opts.state.submissions.values()) {
+        if (entry.finalState !== undefined || !hasSpeculativeStep(entry.submission.steps)) {
             continue;
         }
         for (const task of tasksOf(entry)) {
@@ -54,7 +54,7 @@
     return steps.some(({ isSpeculative }) => isSpeculative);
 }
 
-function isStraggling(task: Task, { estimates, nowMs }: CopyOptions): boolean {
+function isStraggling(task: Task, { estimates, nowMs }: SpeculationOptions): boolean {
     const [run] = task.runs;
     if (!task.step.isSpeculative || task.phase !== "waiting" || run === undefined || task.runs.length >= maxRuns) {
         return false;
@@ -63,16 +63,17 @@
     if (run.worker.runList.kind === "read" && !run.worker.isReachable) {
         return true;
     }
-    const tookMs = nowMs - (run.seenAtMs ?? run.plannedAtMs);
-    return run.phase === "running" && tookMs > minStragglerMs && tookMs > stragglerFactor * estimates.expectMs(task);
+    const tookMs = nowMs - (run.firstListedAtMs ?? run.plannedAtMs);
+    return run.phase === "running" && tookMs > minStragglerMs
+        && tookMs > stragglerFactor * estimates.expectedDurationMs(task);
 }
 
 function placeSpeculativeRun(
     task: Task,
     workers: readonly Worker[],
-    { board: state, nowMs }: CopyOptions,
+    { state, nowMs }: SpeculationOptions,
 ): Run | undefined {
     const avoid = new Set(task.runs.map(({ worker }) => worker));
-    const worker = placeTask(task, { workers, nowMs, avoid });
+    const worker = placeTask(task, { workers, nowMs, excluded: avoid });
     return worker === undefined ? undefined : addRun(state, task, worker, task.lastRun + 1, "recording", nowMs);
 }
--- a/src/schedule/planStarts.ts
+++ b/src/schedule/planStarts.ts
@@ -1,24 +1,27 @@
 import type { Policy } from "../policy";
 import type { Step } from "../submissions";
-import type { Board, Run, SubmissionEntry, Worker } from "./board";
-import { type Estimates } from "./estimates";
-import { hasTenantRoom } from "./hasTenantRoom";
-import { listUnits, orderWork, type Unit } from "./orderWork";
-import { isEligible, isOpen, placeTask } from "./placeTask";
-import { routeOf } from "./routeOf";
+import { type DurationEstimates } from "./estimates";
+import { isWithinTenantLimit } from "./isWithinTenantLimit";
+import { acceptsNewWork, isEligible, placeTask } from "./placeTask";
+import { queueOf } from "./queueOf";
+import { listPlacementUnits, type PlacementUnit, rankSubmissions } from "./rankSubmissions";
 import { addRun, removeRun } from "./runs";
+import type { Run, SchedulerState, SubmissionEntry, Worker } from "./schedulerState";
 
 export interface PlanOptions {
-    readonly board: Board;
+    readonly state: SchedulerState;
     readonly policy: Policy;
-    readonly estimates: Estimates;
+    readonly estimates: DurationEstimates;
     readonly nowMs: number;
     readonly timeOfDayMs: number;
     /**
      * Ids of the workers that may run a unit's step; `undefined`: all. `"unknown"`: the advice service has to be asked
      * first.
      */
-    readonly allowedWorkers: (unit: Unit, workers: readonly Worker[]) => ReadonlySet<string> | "unknown" | undefined;
+    readonly allowedWorkers: (
+        unit: PlacementUnit,
+        workers: readonly Worker[],
+    ) => ReadonlySet<string> | "unknown" | undefined;
     /**
      * Bound on the starts of one round, so that planning does not block other work of the process for long. The last
      * unit of the round may exceed it.
@@ -31,40 +34,40 @@
 
 /** Adds runs for tasks that can start, in phase `recording`, in rank order, and returns them. */
 export function planStarts(opts: PlanOptions): readonly Run[] {
-    const { board: state, policy, estimates, nowMs } = opts;
+    const { state, policy, estimates, nowMs } = opts;
     const pools = new Map(
         [...groupByPool(state)].map(([pool, workers]) => [pool, { workers, maxFree: findMaxFree(workers) }]),
     );
     const caps = new Map(policy.tenants.map(({ name, cap }) => [name, cap]));
     const failedPlacements = new Map<string, number>();
-    const isWithinLimit = ({ entry, tasks }: Unit) => {
+    const isWithinLimit = ({ entry, tasks }: PlacementUnit) => {
         const { tenant } = entry.submission;
         const size = tasks[0]?.step.size;
-        return size === undefined || hasTenantRoom(state, tenant, caps.get(tenant ?? ""), size, tasks.length);
+        return size === undefined || isWithinTenantLimit(state, tenant, caps.get(tenant ?? ""), size, tasks.length);
     };
     const mayRunMore = ({ submission: { tenant } }: SubmissionEntry, { size }: Step) =>
-        hasTenantRoom(state, tenant, caps.get(tenant ?? ""), size);
+        isWithinTenantLimit(state, tenant, caps.get(tenant ?? ""), size);
     const started: Run[] = [];
-    const ranked = orderWork({
+    const ranked = rankSubmissions({
         entries: listPlaceable(
             state,
-            (entry) => pools.get(routeOf(policy, entry.submission).service)?.maxFree,
+            (entry) => pools.get(queueOf(policy, entry.submission).service)?.maxFree,
             mayRunMore,
         ),
-        routeOf: (submission) => routeOf(policy, submission),
+        queueOf: (submission) => queueOf(policy, submission),
         estimates,
         nowMs,
         timeOfDayMs: opts.timeOfDayMs,
     });
     for (const each of ranked) {
-        const { service: poolName } = each.route;
+        const { service: poolName } = each.queue;
         const pool = pools.get(poolName);
         const isFull = () =>
             started.length >= opts.maxStarts || (failedPlacements.get(poolName) ?? 0) > maxFailedPlacements;
         if (pool === undefined || isFull()) {
             continue;
         }
-        for (const unit of listUnits(each, nowMs)) {
+        for (const unit of listPlacementUnits(each, nowMs)) {
             if (isFull()) {
                 break;
             }
@@ -96,7 +99,7 @@
 function findMaxFree(workers: readonly Worker[]): MaxFree {
     let [cpuMillis, memoryMb, accelerators] = [0, 0, 0];
     for (const worker of workers) {
-        if (isOpen(worker)) {
+        if (acceptsNewWork(worker)) {
             const { capacity, used } = worker;
             cpuMillis = Math.max(cpuMillis, capacity.cpuMillis - used.cpuMillis);
             memoryMb = Math.max(memoryMb, capacity.memoryMb - used.memoryMb);
@@ -106,7 +109,7 @@
     return { cpuMillis, memoryMb, accelerators };
 }
 
-function fits({ tasks }: Unit, maxFree: MaxFree): boolean {
+function fits({ tasks }: PlacementUnit, maxFree: MaxFree): boolean {
     return tasks.every(({ step }) => fitsStep(step, maxFree));
 }
 
@@ -121,7 +124,7 @@
  * none can be placed.
  */
 function* listPlaceable(
-    { submissions }: Board,
+    { submissions }: SchedulerState,
     maxFreeOf: (entry: SubmissionEntry) => MaxFree | undefined,
     mayRunMore: (entry: SubmissionEntry, step: Step) => boolean,
 ): Generator<SubmissionEntry> {
@@ -135,7 +138,7 @@
 }
 
 /** Workers by the name of their pool. */
-export function groupByPool(state: Board): ReadonlyMap<string, Worker[]> {
+export function groupByPool(state: SchedulerState): ReadonlyMap<string, Worker[]> {
     const pools = new Map<string, Worker[]>();
     for (const worker of state.workers.values()) {
         const pool = pools.get(worker.pool);
@@ -150,7 +153,7 @@
 }
 
 /** Places all tasks of a unit, or none. */
-function placeUnit(unit: Unit, workers: readonly Worker[], opts: PlanOptions): readonly Run[] {
+function placeUnit(unit: PlacementUnit, workers: readonly Worker[], opts: PlanOptions): readonly Run[] {
     const allowed = opts.allowedWorkers(unit, workers);
     if (allowed === "unknown") {
         return [];
@@ -164,12 +167,12 @@
             if (worker === undefined) {
                 break;
             }
-            runs.push(addRun(opts.board, task, worker, number, "recording", opts.nowMs));
+            runs.push(addRun(opts.state, task, worker, number, "recording", opts.nowMs));
         }
         if (runs.length === unit.tasks.length) {
             return runs;
         }
-        undoPlacements(opts.board, runs);
+        undoPlacements(opts.state, runs);
     }
     return [];
 }
@@ -177,7 +180,7 @@
 /**
  * Groups of workers to try in order: first each single rack, if the unit runs slower across racks, then all workers.
  */
-function listCandidates({ tasks }: Unit, workers: readonly Worker[]): readonly (readonly Worker[])[] {
+function listCandidates({ tasks }: PlacementUnit, workers: readonly Worker[]): readonly (readonly Worker[])[] {
     if (tasks[0]?.step.isSingleRack !== true || tasks.length < 2) {
         return [workers];
     }
@@ -189,7 +192,7 @@
 }
 
 /** Removes the runs of a unit that could not be placed whole. */
-function undoPlacements(state: Board, runs: Run[]): void {
+function undoPlacements(state: SchedulerState, runs: Run[]): void {
     for (const run of runs.splice(0)) {
         const { waitingSinceMs, lastRun } = run.task;
         removeRun(state, run, run.plannedAtMs);
@@ -202,7 +205,11 @@
  * Workers that could run a unit's step if they had enough free capacity: the candidates to ask the advice service
  * about.
  */
-export function listAdviceCandidates({ tasks }: Unit, workers: readonly Worker[], nowMs: number): readonly Worker[] {
+export function listAdviceCandidates(
+    { tasks }: PlacementUnit,
+    workers: readonly Worker[],
+    nowMs: number,
+): readonly Worker[] {
     const task = tasks[0];
     return task === undefined ? [] : workers.filter((worker) => isEligible(worker, task, { workers, nowMs }));
 }
--- a/src/schedule/routeOf.ts
+++ b/src/schedule/queueOf.ts
@@ -1,4 +1,4 @@
-import type { Policy, Route } from "../policy";
+import type { Policy, QueueConfig } from "../policy";
 import type { Submission } from "../submissions";
 
 /** Maximum number of attempts of a task whose queue is no longer configured. */
@@ -8,10 +8,10 @@
 const removedQueueStretch = 1;
 
 /** Queues by name, for each policy. Each waiting submission needs a lookup among up to a few thousand queues. */
-const queueIndexes = new WeakMap<Policy, ReadonlyMap<string, Route>>();
+const queueIndexes = new WeakMap<Policy, ReadonlyMap<string, QueueConfig>>();
 
-function indexQueues(policy: Policy): ReadonlyMap<string, Route> {
-    const index = queueIndexes.get(policy) ?? new Map(policy.routes.map((route) => [route.name, route]));
+function indexQueues(policy: Policy): ReadonlyMap<string, QueueConfig> {
+    const index = queueIndexes.get(policy) ?? new Map(policy.queues.map((route) => [route.name, route]));
     queueIndexes.set(policy, index);
     return index;
 }
@@ -20,7 +20,7 @@
  * Configuration of a submission's queue. Submissions that were accepted before operators removed their queue still run
  * to their end, in the pool that the queue had when they were accepted.
  */
-export function routeOf(policy: Policy, { route, service, tenant }: Submission): Route {
+export function queueOf(policy: Policy, { route, service, tenant }: Submission): QueueConfig {
     return indexQueues(policy).get(route) ?? {
         name: route,
         host: "",
--- a/src/schedule/orderWork.ts
+++ b/src/schedule/rankSubmissions.ts
@@ -1,22 +1,22 @@
-import type { Route } from "../policy";
+import type { QueueConfig } from "../policy";
 import type { Submission } from "../submissions";
-import type { SubmissionEntry, Task } from "./board";
-import { isStepReady } from "./entries";
-import type { Estimates } from "./estimates";
-import { lookAhead, targetAgeMs } from "./lookAhead";
+import { estimateRemaining, targetAgeMs } from "./estimateRemaining";
+import type { DurationEstimates } from "./estimates";
+import type { SubmissionEntry, Task } from "./schedulerState";
+import { isStepReady } from "./submissionEntries";
 
 /** Tasks that are placed all together or not at all. */
-export interface Unit {
+export interface PlacementUnit {
     readonly entry: SubmissionEntry;
-    readonly route: Route;
+    readonly queue: QueueConfig;
     /** One task, or all tasks of a gang. */
     readonly tasks: readonly Task[];
 }
 
-export interface OrderOptions {
+export interface RankOptions {
     readonly entries: Iterable<SubmissionEntry>;
-    readonly routeOf: (submission: Submission) => Route;
-    readonly estimates: Estimates;
+    readonly queueOf: (submission: Submission) => QueueConfig;
+    readonly estimates: DurationEstimates;
     readonly nowMs: number;
     readonly timeOfDayMs: number;
 }
@@ -30,7 +30,7 @@
 /** A submission with tasks that can start, and its queue. */
 export interface RankedEntry {
     readonly entry: SubmissionEntry;
-    readonly route: Route;
+    readonly queue: QueueConfig;
 }
 
 interface Ranked extends RankedEntry {
@@ -48,29 +48,29 @@
  * core-second. So those that can still meet their target come first, by priority of the queue and then least remaining
  * work first. Late ones follow, unless they have waited so long that they rank with the first.
  */
-export function orderWork(opts: OrderOptions): readonly RankedEntry[] {
+export function rankSubmissions(opts: RankOptions): readonly RankedEntry[] {
     const ranked: Ranked[] = [];
     for (const entry of opts.entries) {
-        if (entry.ending === undefined && !entry.isCancelled && hasStartable(entry, opts.nowMs)) {
-            ranked.push(rank(entry, opts.routeOf(entry.submission), opts));
+        if (entry.finalState === undefined && !entry.isCancelled && hasStartable(entry, opts.nowMs)) {
+            ranked.push(rank(entry, opts.queueOf(entry.submission), opts));
         }
     }
     return ranked.sort((a, b) =>
-        a.group - b.group || a.route.priority - b.route.priority || a.workCoreMs - b.workCoreMs
+        a.group - b.group || a.queue.priority - b.queue.priority || a.workCoreMs - b.workCoreMs
     );
 }
 
-function rank(entry: SubmissionEntry, queue: Route, opts: OrderOptions): Ranked {
+function rank(entry: SubmissionEntry, queue: QueueConfig, opts: RankOptions): Ranked {
     const { submission } = entry;
     if (submission.steps.some(({ isLongRunning }) => isLongRunning)) {
-        return { entry, route: queue, group: 0, workCoreMs: 0 };
+        return { entry, queue, group: 0, workCoreMs: 0 };
     }
-    const remaining = lookAhead(entry, opts.estimates, opts.nowMs);
+    const remaining = estimateRemaining(entry, opts.estimates, opts.nowMs);
     const ageMs = opts.timeOfDayMs - submission.acceptedAtMs;
-    const isInTime = ageMs + remaining.chainMs <= targetAgeMs(queue, remaining);
+    const isInTime = ageMs + remaining.criticalPathMs <= targetAgeMs(queue, remaining);
     return {
         entry,
-        route: queue,
+        queue,
         group: isInTime || ageMs > starvationAgeMs ? 1 : 2,
         workCoreMs: remaining.workCoreMs,
     };
@@ -85,8 +85,8 @@
 }
 
 /** Tasks of a submission that can start now: single tasks, and gangs if all of their tasks can start. */
-export function listUnits({ entry, route: queue }: RankedEntry, nowMs: number): readonly Unit[] {
-    const units: Unit[] = [];
+export function listPlacementUnits({ entry, queue }: RankedEntry, nowMs: number): readonly PlacementUnit[] {
+    const units: PlacementUnit[] = [];
     for (const occurrence of entry.occurrences) {
         occurrence.tasks.forEach((step, number) => {
             if (!isStepReady(occurrence, number)) {
@@ -94,13 +94,13 @@
             }
             if (step[0]?.step.isGang === true) {
                 if (step.every((task) => isStartable(task, nowMs))) {
-                    units.push({ entry, route: queue, tasks: step });
+                    units.push({ entry, queue, tasks: step });
                 }
                 return;
             }
             for (const task of step) {
                 if (isStartable(task, nowMs)) {
-                    units.push({ entry, route: queue, tasks: [task] });
+                    units.push({ entry, queue, tasks: [task] });
                 }
             }
         });
--- a/src/schedule/runs.ts
+++ b/src/schedule/runs.ts
@@ -1,8 +1,8 @@
-import type { Board, Run, RunPhase, Task, Worker } from "./board";
+import type { Run, RunPhase, SchedulerState, Task, Worker } from "./schedulerState";
 
 /** Adds a run to the scheduler state and reserves its capacity. */
 export function addRun(
-    state: Board,
+    state: SchedulerState,
     task: Task,
     worker: Worker,
     number: number,
@@ -18,7 +18,7 @@
         answeredAtMs: Number.POSITIVE_INFINITY,
         percent: 0,
         progressAtMs: nowMs,
-        seenAtMs: undefined,
+        firstListedAtMs: undefined,
         checkpoint: task.checkpoint,
         measure: 0,
         pacePercent: 100,
@@ -28,13 +28,13 @@
     task.runs.push(run);
     task.lastRun = Math.max(task.lastRun, number);
     worker.runs.add(run);
-    task.owner.zone = worker.zone || task.owner.zone;
+    task.entry.zone = worker.zone || task.entry.zone;
     updateUsage(state, run, 1);
     return run;
 }
 
 /** Removes a run that can't be running any more and releases its capacity. */
-export function removeRun(state: Board, run: Run, nowMs: number): void {
+export function removeRun(state: SchedulerState, run: Run, nowMs: number): void {
     if (!run.worker.runs.delete(run)) {
         return;
     }
@@ -46,7 +46,7 @@
 }
 
 /** Moves a run to a later incarnation of its worker. A stop request has to be sent again, to that incarnation. */
-export function moveRun(state: Board, run: Run, worker: Worker, nowMs: number): void {
+export function moveRun(state: SchedulerState, run: Run, worker: Worker, nowMs: number): void {
     updateUsage(state, run, -1);
     run.worker.runs.delete(run);
     run.worker = worker;
@@ -60,13 +60,13 @@
 }
 
 /** Adds (`sign` 1) or removes (-1) a run's resources from the usage of its worker and its tenant. */
-function updateUsage(state: Board, { task, worker }: Run, sign: 1 | -1): void {
+function updateUsage(state: SchedulerState, { task, worker }: Run, sign: 1 | -1): void {
     const { size, isFiller } = task.step;
     const cpuMillis = isFiller ? 0 : size.cpuMillis;
     worker.used.cpuMillis += sign * cpuMillis;
     worker.used.memoryMb += sign * size.memoryMb;
     worker.used.accelerators += sign * size.accelerators;
-    const { tenant } = task.owner.submission;
+    const { tenant } = task.entry.submission;
     if (tenant === undefined) {
         return;
     }
--- a/src/schedule/board.ts
+++ b/src/schedule/schedulerState.ts
@@ -32,7 +32,7 @@
     /** When `percent` last increased, on the monotonic clock. */
     progressAtMs: number;
     /** When a run list of the worker first contained the run, on the monotonic clock; `undefined`: none has. */
-    seenAtMs: number | undefined;
+    firstListedAtMs: number | undefined;
     checkpoint: string;
     /**
      * Latest value from the worker: latency in ms for a task with a latency target, else processor use in thousandths.
@@ -50,7 +50,7 @@
 /** One task of a step, in one occurrence of its submission. */
 export interface Task {
     readonly name: string;
-    readonly owner: SubmissionEntry;
+    readonly entry: SubmissionEntry;
     readonly occurrence: number;
     readonly stepNumber: number;
     readonly step: Step;
@@ -70,7 +70,7 @@
     /** Earliest time of the next start, on the monotonic clock. */
     notBeforeMs: number;
     /** Ids of the workers where a run of the task failed. */
-    readonly failedOn: Set<string>;
+    readonly failedWorkerIds: Set<string>;
     /** When its last run was removed, or else when the task was added, on the monotonic clock. */
     waitingSinceMs: number;
 }
@@ -92,27 +92,27 @@
     /** Revision of the submission's progress record, which the leader writes; 0: there is none. */
     progressRevision: number;
     isCancelled: boolean;
-    hasBegun: boolean;
+    hasStarted: boolean;
     readonly occurrences: Occurrence[];
     /** The final state that has been decided; made visible once it is in the store. */
-    ending: "complete" | "failed" | "cancelled" | undefined;
+    finalState: "complete" | "failed" | "cancelled" | undefined;
     readonly seenAtMs: number;
     /** Availability zone of the worker that one of its tasks was last placed on; `undefined`: none yet. */
     zone: string | undefined;
     /** Cached estimate that the ranking uses; `undefined`: not computed yet. */
-    outlook: Outlook | undefined;
+    remainingEstimate: RemainingEstimate | undefined;
 }
 
 /** Estimate of what a submission still has to run. */
-export interface Outlook {
+export interface RemainingEstimate {
     /** Remaining work, in core-milliseconds. */
     readonly workCoreMs: number;
     /** Remaining length of the critical path. */
-    readonly chainMs: number;
+    readonly criticalPathMs: number;
     /** Length of the critical path over all steps, done or not. */
-    readonly wholeChainMs: number;
+    readonly fullCriticalPathMs: number;
     /** When the estimate was computed, on the monotonic clock. */
-    readonly atMs: number;
+    readonly computedAtMs: number;
 }
 
 /**
@@ -159,7 +159,7 @@
     /** Minimum time until a draining worker is removed, in milliseconds. */
     drainLeftMs: number;
     /** The worker's registration is in the store. */
-    isListed: boolean;
+    isRegistered: boolean;
     runList: RunList;
     /** The last request was answered. */
     isReachable: boolean;
@@ -183,7 +183,7 @@
     /** Capacity reserved for runs; a filler's processors don't count. */
     used: { cpuMillis: number; memoryMb: number; accelerators: number; };
     /** Number of listed runs that belong to no task any more; they use capacity until they end. */
-    strays: number;
+    strayRunCount: number;
     readonly outcomes: WorkerOutcomes;
     /** When a run on the worker was last removed, on the monotonic clock. */
     idleSinceMs: number;
@@ -203,13 +203,13 @@
 }
 
 /** In-memory state that the leader's scheduling decisions are based on. */
-export interface Board {
+export interface SchedulerState {
     readonly submissions: Map<string, SubmissionEntry>;
     readonly workers: Map<string, Worker>;
     /** Resources of each tenant's runs, including those that may be running. */
     readonly tenantUse: Map<string, { cpuMillis: number; memoryMb: number; accelerators: number; }>;
 }
 
-export function createBoard(): Board {
+export function createSchedulerState(): SchedulerState {
     return { submissions: new Map(), workers: new Map(), tenantUse: new Map() };
 }
--- a/src/schedule/entries.ts
+++ b/src/schedule/submissionEntries.ts
@@ -1,5 +1,5 @@
 import type { Submission } from "../submissions";
-import type { Board, Occurrence, SubmissionEntry, Task } from "./board";
+import type { Occurrence, SchedulerState, SubmissionEntry, Task } from "./schedulerState";
 
 /** Name that identifies a task on workers: submission id, occurrence, step number and index. */
 export function taskName(id: string, occurrence: number, step: number, index: number): string {
@@ -8,7 +8,7 @@
 
 /** Adds a submission from the store to the scheduler state. */
 export function addSubmission(
-    state: Board,
+    state: SchedulerState,
     submission: Submission,
     revision: number,
     isCancelled: boolean,
@@ -19,12 +19,12 @@
         revision,
         progressRevision: 0,
         isCancelled,
-        hasBegun: false,
+        hasStarted: false,
         occurrences: [],
-        ending: undefined,
+        finalState: undefined,
         seenAtMs: nowMs,
         zone: undefined,
-        outlook: undefined,
+        remainingEstimate: undefined,
     };
     state.submissions.set(submission.id, entry);
     return entry;
@@ -47,7 +47,7 @@
     const tasks = submission.steps.map((step, stepNumber) =>
         Array.from({ length: step.count }, (_, index): Task => ({
             name: taskName(submission.id, number, stepNumber, index),
-            owner: entry,
+            entry,
             occurrence: number,
             stepNumber,
             step,
@@ -59,7 +59,7 @@
             checkpoint: "",
             runs: [],
             notBeforeMs: 0,
-            failedOn: new Set(),
+            failedWorkerIds: new Set(),
             waitingSinceMs: nowMs,
         }))
     );
@@ -80,7 +80,7 @@
 }
 
 /** Finds a task by its name; `undefined`: there is no such task. */
-export function findTask(state: Board, name: string): Task | undefined {
+export function findTask(state: SchedulerState, name: string): Task | undefined {
     const [id = "", occurrence, step, index] = name.split(".");
     const tasks = state.submissions.get(id)?.occurrences[Number(occurrence)]?.tasks;
     return tasks?.[Number(step)]?.[Number(index)];
--- a/src/schedule/test/schedule.steps.ts
+++ b/src/schedule/test/schedule.steps.ts
@@ -7,21 +7,21 @@
     addDueOccurrences,
     addRun,
     addSubmission,
-    type Board,
-    createBoard,
-    createEstimates,
+    createDurationEstimates,
+    createSchedulerState,
     createWorker,
     groupByPool,
-    noteFailure,
-    planCopies,
+    planSpeculativeRuns,
     planStarts,
+    recordFailure,
+    type SchedulerState,
     type SubmissionEntry,
     tasksOf,
     type Worker,
 } from "../index";
 
 interface World {
-    state: Board;
+    state: SchedulerState;
     policy: Policy;
     entries: Map<string, SubmissionEntry>;
     nowMs: number;
@@ -30,7 +30,7 @@
 const timeOfDayMs = 1_000_000;
 
 Before(function(this: World) {
-    this.state = createBoard();
+    this.state = createSchedulerState();
     this.policy = plainPolicy;
     this.entries = new Map();
     this.nowMs = 10_000;
@@ -45,7 +45,7 @@
         zone: "zone-a",
         rack: "r1",
         capacity: { cpuMillis: cores * 1000, memoryMb: 64_000, accelerators: 0 },
-        isListed: true,
+        isRegistered: true,
         runList: { kind: "read", firstReadAtMs: 0, askedAtMs: 0 },
     };
     world.state.workers.set(id, worker);
@@ -106,7 +106,7 @@
 Then("each zone holds tasks of at most {int} submissions", function(this: World, most: number) {
     const entriesByZone = new Map<string, Set<SubmissionEntry>>();
     for (const { zone, runs } of this.state.workers.values()) {
-        runs.forEach(({ task }) => entriesByZone.set(zone, (entriesByZone.get(zone) ?? new Set()).add(task.owner)));
+        runs.forEach(({ task }) => entriesByZone.set(zone, (entriesByZone.get(zone) ?? new Set()).add(task.entry)));
     }
     entriesByZone.forEach((entries, zone) => assert.ok(entries.size <= most, `${zone}: ${entries.size}`));
 });
@@ -158,7 +158,7 @@
 
 Given("tasks of {int} submission(s) have failed on worker {int}", function(this: World, count: number, number: number) {
     for (let at = 0; at < count; at++) {
-        noteFailure(workerOf(this, number), `failing-${at}`, this.nowMs);
+        recordFailure(workerOf(this, number), `failing-${at}`, this.nowMs);
     }
 });
 
@@ -178,9 +178,9 @@
 
 function plan(world: World, allowedWorkers: () => undefined): void {
     planStarts({
-        board: world.state,
+        state: world.state,
         policy: world.policy,
-        estimates: createEstimates(),
+        estimates: createDurationEstimates(),
         nowMs: world.nowMs,
         timeOfDayMs,
         allowedWorkers,
@@ -197,11 +197,11 @@
     for (const { runs } of this.state.workers.values()) {
         runs.forEach((run) => run.phase = "running");
     }
-    planCopies({
-        board: this.state,
+    planSpeculativeRuns({
+        state: this.state,
         workersOf: (pool) => groupByPool(this.state).get(pool) ?? [],
         poolOf: () => "stalls",
-        estimates: createEstimates(),
+        estimates: createDurationEstimates(),
         nowMs: this.nowMs,
     });
 });
--- a/src/schedule/test/workerLives.steps.ts
+++ b/src/schedule/test/workerIncarnations.steps.ts
@@ -5,18 +5,18 @@
     addDueOccurrences,
     addRun,
     addSubmission,
-    type Board,
-    createBoard,
+    createSchedulerState,
+    ensureIncarnation,
     removeWorker,
     type Run,
     type RunPhase,
-    takeLife,
+    type SchedulerState,
     tasksOf,
     type Worker,
 } from "../index";
 
 interface World {
-    state: Board;
+    state: SchedulerState;
     /** Workers that were returned for the reported incarnations, by `bornMs`. */
     reported: Map<number, Worker | undefined>;
     /** `bornMs` of the incarnations that have ended. */
@@ -30,12 +30,12 @@
 function reportIncarnation(world: World, bornMs: number): void {
     world.reported.set(
         bornMs,
-        takeLife(world.state, id, bornMs, nowMs, (earlier) => world.endedMs.push(earlier.bornMs)),
+        ensureIncarnation(world.state, id, bornMs, nowMs, (earlier) => world.endedMs.push(earlier.bornMs)),
     );
 }
 
 Before(function(this: World) {
-    this.state = createBoard();
+    this.state = createSchedulerState();
     this.reported = new Map();
     this.endedMs = [];
 });
@@ -59,7 +59,7 @@
 });
 
 Given("a run list has contained the run", function(this: World) {
-    this.run.seenAtMs = nowMs;
+    this.run.firstListedAtMs = nowMs;
 });
 
 Given("the stop request has been answered", function(this: World) {
--- a/src/schedule/workerHealth.ts
+++ b/src/schedule/workerHealth.ts
@@ -1,4 +1,4 @@
-import type { Task, Worker, WorkerOutcomes } from "./board";
+import type { Task, Worker, WorkerOutcomes } from "./schedulerState";
 
 /** Number of submissions that have to fail on a worker, with no success between them, until the worker is suspect. */
 const suspectAfterSubmissions = 2;
@@ -22,7 +22,7 @@
 }
 
 /** Records a run that ended as done. The worker is neither suspect nor quarantined any more. */
-export function noteSuccess({ outcomes }: Worker, nowMs: number): void {
+export function recordSuccess({ outcomes }: Worker, nowMs: number): void {
     outcomes.failedSubmissions.clear();
     outcomes.lastSuccessAtMs = nowMs;
     outcomes.quarantinedUntilMs = 0;
@@ -33,7 +33,7 @@
  * up the attempts of every task in its pool within seconds. One failed submission is no evidence, because its tasks may
  * always fail. Two different ones with no success between them make the worker suspect.
  */
-export function noteFailure({ outcomes }: Worker, submission: string, nowMs: number): void {
+export function recordFailure({ outcomes }: Worker, submission: string, nowMs: number): void {
     outcomes.failedSubmissions.add(submission);
     outcomes.lastFailureAtMs = nowMs;
 }
@@ -53,7 +53,7 @@
 }
 
 /** Whether a worker is healthy enough for a task, given the earlier failures of both. */
-export function isSound(worker: Worker, task: Task, nowMs: number): boolean {
+export function isHealthyFor(worker: Worker, task: Task, nowMs: number): boolean {
     const { outcomes } = worker;
     if (nowMs < outcomes.quarantinedUntilMs) {
         return false;
--- a/src/schedule/workerLives.ts
+++ b/src/schedule/workerIncarnations.ts
@@ -1,12 +1,12 @@
-import type { Board, Worker } from "./board";
 import { createWorker } from "./createWorker";
 import { moveRun } from "./runs";
+import type { SchedulerState, Worker } from "./schedulerState";
 
 /** Called with an incarnation that a later one has replaced, and with the runs that stay on it. */
-export type LifeEnded = (earlier: Worker) => void;
+export type OnIncarnationEnded = (earlier: Worker) => void;
 
 /** Whether the scheduler state has this incarnation under its worker's id. */
-export function isOnBoard(state: Board, worker: Worker): boolean {
+export function isCurrentIncarnation(state: SchedulerState, worker: Worker): boolean {
     return state.workers.get(worker.id) === worker;
 }
 
@@ -15,12 +15,12 @@
  * An incarnation ends before the next one with its id starts, so the state has one for each id: the latest that a
  * progress record, a registration or a run list has named.
  */
-export function takeLife(
-    state: Board,
+export function ensureIncarnation(
+    state: SchedulerState,
     id: string,
     bornMs: number,
     nowMs: number,
-    onIncarnationEnded: LifeEnded,
+    onIncarnationEnded: OnIncarnationEnded,
 ): Worker {
     const known = state.workers.get(id);
     if (known === undefined) {
@@ -28,7 +28,7 @@
         state.workers.set(id, worker);
         return worker;
     }
-    return known.bornMs < bornMs ? replaceLife(state, known, bornMs, nowMs, onIncarnationEnded) : known;
+    return known.bornMs < bornMs ? replaceIncarnation(state, known, bornMs, nowMs, onIncarnationEnded) : known;
 }
 
 /**
@@ -39,18 +39,18 @@
  * earlier incarnation contained is moved to the later one, whose run lists decide. If it were dropped instead, its task
  * could start elsewhere while it still runs there.
  */
-export function replaceLife(
-    state: Board,
+export function replaceIncarnation(
+    state: SchedulerState,
     earlier: Worker,
     bornMs: number,
     nowMs: number,
-    onIncarnationEnded: LifeEnded,
+    onIncarnationEnded: OnIncarnationEnded,
 ): Worker {
     const worker = createWorker(earlier.id, bornMs);
     worker.address = earlier.address;
     state.workers.set(worker.id, worker);
     for (const run of [...earlier.runs]) {
-        if (run.phase !== "recording" && run.seenAtMs === undefined) {
+        if (run.phase !== "recording" && run.firstListedAtMs === undefined) {
             moveRun(state, run, worker, nowMs);
         }
     }
@@ -59,8 +59,8 @@
 }
 
 /** Removes an incarnation from the scheduler state; a different one with the same id stays. */
-export function removeWorker(state: Board, worker: Worker): void {
-    if (isOnBoard(state, worker)) {
+export function removeWorker(state: SchedulerState, worker: Worker): void {
+    if (isCurrentIncarnation(state, worker)) {
         state.workers.delete(worker.id);
     }
 }
--- a/src/scheduler/chooseConsolidation.ts
+++ b/src/scheduler/chooseConsolidation.ts
@@ -1,4 +1,4 @@
-import { isOpen, placeTask, type Worker } from "../schedule";
+import { acceptsNewWork, placeTask, type Worker } from "../schedule";
 
 export interface ConsolidationOptions {
     /** Workers of one pool. */
@@ -6,7 +6,7 @@
     /** Cores that the pool can spare, in thousandths. The cores of moved tasks are needed again on other workers. */
     readonly spareCpuMillis: number;
     /** How long a worker has run only long-running tasks, in milliseconds. */
-    readonly stayingMs: (worker: Worker) => number;
+    readonly longRunningOnlyMs: (worker: Worker) => number;
     readonly nowMs: number;
 }
 
@@ -27,17 +27,17 @@
 export function chooseConsolidation(opts: ConsolidationOptions): Worker | undefined {
     const [worker] = opts.workers
         .filter(({ capacity, used }) => capacity.cpuMillis + used.cpuMillis <= opts.spareCpuMillis)
-        .filter((each) => isMovable(each) && opts.stayingMs(each) >= moveUnavailableMs * each.runs.size)
+        .filter((each) => isMovable(each) && opts.longRunningOnlyMs(each) >= moveUnavailableMs * each.runs.size)
         .sort((a, b) => a.runs.size - b.runs.size);
     if (worker === undefined) {
         return undefined;
     }
-    const others = opts.workers.filter((other) => other !== worker && other.runs.size > 0 && isOpen(other));
+    const others = opts.workers.filter((other) => other !== worker && other.runs.size > 0 && acceptsNewWork(other));
     return canPlaceAll(worker, others, opts.nowMs) ? worker : undefined;
 }
 
 function isMovable(worker: Worker): boolean {
-    return isOpen(worker) && worker.runs.size > 0
+    return acceptsNewWork(worker) && worker.runs.size > 0
         && [...worker.runs].every(({ phase, task: { step } }) => phase === "running" && step.maxUnavailable > 0);
 }
 
--- a/src/scheduler/chooseEvacuations.ts
+++ b/src/scheduler/chooseEvictions.ts
@@ -1,11 +1,11 @@
-import { longestMs } from "../runs";
-import { type Board, groupByPool, placeTask, type Run, type Worker } from "../schedule";
+import { maxLocalMs } from "../runs";
+import { groupByPool, placeTask, type Run, type SchedulerState, type Worker } from "../schedule";
 
 /** Progress at which a long-running task counts as available. */
 const availablePercent = 100;
 
-export interface EvacuationOptions {
-    readonly board: Board;
+export interface EvictionOptions {
+    readonly board: SchedulerState;
     /** Tasks are stopped even if no other worker can take them. */
     readonly isUrgent: boolean;
     readonly nowMs: number;
@@ -21,7 +21,7 @@
  * another worker can take it. If it is urgent, the task is stopped anyway and waits for capacity. Short tasks are left
  * to end.
  */
-export function chooseEvacuations(worker: Worker, opts: EvacuationOptions): readonly Run[] {
+export function chooseEvictions(worker: Worker, opts: EvictionOptions): readonly Run[] {
     const { board, nowMs } = opts;
     const others = (groupByPool(board).get(worker.pool) ?? []).filter((other) => other !== worker);
     const chosen: Run[] = [];
@@ -35,8 +35,8 @@
     return chosen;
 }
 
-function isWithinMaxUnavailable({ task }: Run, chosen: readonly Run[], { maxStopMs }: EvacuationOptions): boolean {
-    const { step, owner, occurrence, stepNumber } = task;
+function isWithinMaxUnavailable({ task }: Run, chosen: readonly Run[], { maxStopMs }: EvictionOptions): boolean {
+    const { step, entry: owner, occurrence, stepNumber } = task;
     if (step.maxUnavailable === 0) {
         return true;
     }
@@ -64,5 +64,5 @@
  */
 function isRunListReliable({ runList, isReachable }: Worker, maxStopMs: number): boolean {
     return isReachable && runList.kind === "read"
-        && runList.askedAtMs - runList.firstReadAtMs > longestMs(maxStopMs);
+        && runList.askedAtMs - runList.firstReadAtMs > maxLocalMs(maxStopMs);
 }
--- a/src/scheduler/createConsolidator.ts
+++ b/src/scheduler/createConsolidator.ts
@@ -1,11 +1,11 @@
 import type { Clocks } from "../clock";
 import { findShortage, type PoolDemand } from "../machines";
-import { type Board, groupByPool, type Run, type Worker } from "../schedule";
+import { groupByPool, type Run, type SchedulerState, type Worker } from "../schedule";
 import { chooseConsolidation } from "./chooseConsolidation";
-import { chooseEvacuations } from "./chooseEvacuations";
+import { chooseEvictions } from "./chooseEvictions";
 
 export interface ConsolidatorOptions {
-    readonly board: Board;
+    readonly board: SchedulerState;
     readonly clocks: Clocks;
     /** Longest time that a worker takes to stop a task, in milliseconds. */
     readonly maxStopMs: number;
@@ -48,12 +48,12 @@
 
     /** Stops more of the worker's tasks. Gives up if the pool needs the capacity, and ends when the worker is empty. */
     function continueEmptying(worker: Worker, isShort: boolean, nowMs: number): void {
-        if (isShort || worker.runs.size === 0 || !worker.isListed) {
+        if (isShort || worker.runs.size === 0 || !worker.isRegistered) {
             emptyingByPool.delete(worker.pool);
             worker.isReserved = false;
             return;
         }
-        for (const run of chooseEvacuations(worker, { board, isUrgent: false, nowMs, maxStopMs: opts.maxStopMs })) {
+        for (const run of chooseEvictions(worker, { board, isUrgent: false, nowMs, maxStopMs: opts.maxStopMs })) {
             opts.stop(run, "its task is consolidated onto a worker in use");
         }
     }
@@ -71,7 +71,7 @@
                 const worker = current ?? chooseConsolidation({
                     workers: need.isStandby ? [] : workers,
                     spareCpuMillis: -shortage - need.reserveCpuMillis,
-                    stayingMs: (each) => nowMs - (longRunningOnlySinceMs.get(each) ?? nowMs),
+                    longRunningOnlyMs: (each) => nowMs - (longRunningOnlySinceMs.get(each) ?? nowMs),
                     nowMs,
                 });
                 if (worker !== undefined) {
--- a/src/scheduler/createFleetKeeper.ts
+++ b/src/scheduler/createFleetController.ts
@@ -6,28 +6,28 @@
     type DemandMeter,
     findShortage,
     type Machine,
+    type MachineApi,
     type MachineOrder,
     type MachineOrders,
-    type Machines,
     type PoolDemand,
 } from "../machines";
 import type { Policy, Wave } from "../policy";
-import { type Board, type Estimates, groupByPool, type Run, type Worker } from "../schedule";
+import { type DurationEstimates, groupByPool, type Run, type SchedulerState, type Worker } from "../schedule";
 import { createConsolidator } from "./createConsolidator";
 import { createFleetView } from "./createFleetView";
-import { createWaves } from "./createWaves";
+import { createWaveController } from "./createWaveController";
 import { measureDemand } from "./measureDemand";
-import { sumRoom } from "./sumRoom";
+import { sumPoolUsage } from "./sumPoolUsage";
 
-export interface FleetKeeperOptions {
-    readonly board: Board;
+export interface FleetControllerOptions {
+    readonly board: SchedulerState;
     readonly clocks: Clocks;
     readonly report: Reporter;
     readonly tenure: Tenure;
-    readonly machines: Machines;
+    readonly machines: MachineApi;
     readonly orders: MachineOrders;
     readonly meter: DemandMeter;
-    readonly estimates: Estimates;
+    readonly estimates: DurationEstimates;
     /** Time from the decision to move a machine until it takes work, in milliseconds. */
     readonly joinMs: number;
     readonly policy: () => Policy | undefined;
@@ -43,16 +43,16 @@
     readonly reportWave: (wave: number, isComplete: boolean) => Promise<boolean>;
     stop(run: Run, reason: string): void;
     /** Polls a worker's run list at once. */
-    lookNow(worker: Worker): void;
-    onLifeEnded(worker: Worker, reason: string): void;
+    pollNow(worker: Worker): void;
+    onIncarnationEnded(worker: Worker, reason: string): void;
     /** Called after machine orders have been sent. */
     onChange(): void;
 }
 
 /** Decides machine moves and maintenance in a loop. */
-export interface FleetKeeper {
+export interface FleetController {
     /** Whether an order for the worker's machine is pending, which may end the worker. */
-    isOrdered(worker: Worker): boolean;
+    hasPendingOrder(worker: Worker): boolean;
     start(): void;
     stop(): void;
 }
@@ -67,12 +67,12 @@
 const reportIntervalMs = 1000;
 
 /** Moves machines to pools with waiting work, moves idle ones to the standby pool, and carries out maintenance waves. */
-export function createFleetKeeper(opts: FleetKeeperOptions): FleetKeeper {
+export function createFleetController(opts: FleetControllerOptions): FleetController {
     const { board, clocks } = opts;
     const maxMovesPerRound = Math.max(1, Math.floor(opts.ordersPerSecond * decisionIntervalMs / 1000 * moveRateShare));
-    const standby = () => [...opts.policy()?.services.values() ?? []].find(({ isStandby }) => isStandby)?.name;
+    const standby = () => [...opts.policy()?.pools.values() ?? []].find(({ isStandby }) => isStandby)?.name;
     const view = createFleetView({ ...opts, standby });
-    const waves = createWaves({ ...opts, view, standby });
+    const waves = createWaveController({ ...opts, view, standby });
     const consolidator = createConsolidator(opts);
     let reportedAtMs = Number.NEGATIVE_INFINITY;
     let isStopped = false;
@@ -86,14 +86,14 @@
         reportedAtMs = nowMs;
         const pools = groupByPool(board);
         for (const { pool, isStandby, waitingCpuMillis, neededCpuMillis, comingCpuMillis: coming } of demand) {
-            const usage = sumRoom(pools.get(pool) ?? []);
+            const usage = sumPoolUsage(pools.get(pool) ?? []);
             if (!isStandby) {
                 opts.report({
                     kind: "room",
                     pool,
                     workers: usage.workers,
                     emptyWorkers: usage.emptyWorkers,
-                    stayingWorkers: usage.stayingWorkers,
+                    stayingWorkers: usage.longRunningOnlyWorkers,
                     cores: toCores(usage.cpuMillis),
                     longRunningCores: toCores(usage.longRunningCpuMillis),
                     shortCores: toCores(usage.shortCpuMillis),
@@ -119,7 +119,7 @@
         const moves = chooseMoves({
             pools: demand,
             idle: view.listIdle(maintenanceIds),
-            impossible: view.impossible,
+            impossibleMoves: view.impossible,
             maxMoves: maxMovesPerRound,
         });
         const movingIds = new Set(moves.map(({ machine }) => machine));
@@ -172,7 +172,7 @@
     }
 
     return {
-        isOrdered: view.isOrdered,
+        hasPendingOrder: view.hasPendingOrder,
         start: () => void runLoop(),
         stop() {
             isStopped = true;
