--- a/src/scheduler/createFleetView.ts
+++ b/src/scheduler/createFleetView.ts
@@ -1,13 +1,13 @@
 import type { Clocks } from "../clock";
 import type { Reporter } from "../logging";
-import type { IdleMachine, Machine, MachineOrder, MachineOrderResult, MachineOrders, Machines } from "../machines";
-import { type Board, isInService, type Worker } from "../schedule";
+import type { IdleMachine, Machine, MachineApi, MachineOrder, MachineOrderResult, MachineOrders } from "../machines";
+import { isInService, type SchedulerState, type Worker } from "../schedule";
 
 export interface FleetViewOptions {
-    readonly board: Board;
+    readonly board: SchedulerState;
     readonly clocks: Clocks;
     readonly report: Reporter;
-    readonly machines: Machines;
+    readonly machines: MachineApi;
     readonly orders: MachineOrders;
     /** How long the maintenance of a machine takes, in milliseconds. */
     readonly maintenanceMs: number;
@@ -15,18 +15,18 @@
     readonly standby: () => string | undefined;
     readonly evacuatedZones: () => ReadonlySet<string>;
     /** Polls a worker's run list at once. */
-    lookNow(worker: Worker): void;
-    onLifeEnded(worker: Worker, reason: string): void;
+    pollNow(worker: Worker): void;
+    onIncarnationEnded(worker: Worker, reason: string): void;
 }
 
 /** A maintenance that has been ordered and is not known to be over. */
-export interface OrderedUpkeep {
+export interface OrderedMaintenance {
     /** Id of the machine. */
     readonly machine: string;
     /** Whether the order got no answer. It may still be carried out. */
     readonly isUnanswered: boolean;
     /** Whether the platform's list has shown the maintenance since the first order. */
-    readonly isSeen: boolean;
+    readonly isObserved: boolean;
 }
 
 /** The leader's view of the machines and of its pending machine orders. */
@@ -41,9 +41,9 @@
     /** Returns the worker that the platform's list shows on a machine. */
     workerOf(machine: Machine | undefined): Worker | undefined;
     /** Whether an order for the worker's machine is pending, which may end the worker. */
-    isOrdered(worker: Worker): boolean;
+    hasPendingOrder(worker: Worker): boolean;
     /** Whether the machine can be ordered: no order is pending, and none of an earlier leader can be. */
-    isFree(id: string): boolean;
+    isOrderable(id: string): boolean;
     /**
      * Lists machines without work.
      *
@@ -53,7 +53,7 @@
     /** Cores of the machines that are moving to a pool, in thousandths. */
     comingCpuMillis(pool: string): number;
     /** Lists machines whose maintenance for a wave was ordered and is not known to be over. */
-    onUpkeep(wave: number): readonly OrderedUpkeep[];
+    listMaintenance(wave: number): readonly OrderedMaintenance[];
     /** Sends machine orders and reserves their workers. Does not wait for the answers. */
     send(orders: readonly MachineOrder[]): void;
 }
@@ -155,13 +155,13 @@
         }
         const isGone = hasLeftMachine(worker, machine);
         if (isGone && (worker.runs.size === 0 || !worker.isReachable)) {
-            opts.onLifeEnded(worker, "the platform lists its machine without it after a machine order");
+            opts.onIncarnationEnded(worker, "the platform lists its machine without it after a machine order");
             return;
         }
         const isUncertain = isGone || listSentAtMs > (pending.answeredAtMs ?? Number.POSITIVE_INFINITY);
         if (isUncertain && pending.polledAtMs === undefined) {
             pending.polledAtMs = clocks.steadyMs();
-            opts.lookNow(worker);
+            opts.pollNow(worker);
         }
     }
 
@@ -263,9 +263,9 @@
             }
         },
         workerOf,
-        isOrdered: (worker) =>
+        hasPendingOrder: (worker) =>
             [...pendingOrders.values()].some(({ incarnationBefore }) => findIncarnation(incarnationBefore) === worker),
-        isFree: canOrder,
+        isOrderable: canOrder,
         listIdle(wanted) {
             const standby = opts.standby();
             const nowMs = clocks.steadyMs();
@@ -292,12 +292,12 @@
         comingCpuMillis: (pool) =>
             [...pendingOrders].filter(([id, pending]) => pending.targetPool === pool && !isEvacuated(machines.get(id)))
                 .reduce((sum, [id]) => sum + (machines.get(id)?.capacity.cpuMillis ?? 0), 0),
-        onUpkeep: (wave) =>
+        listMaintenance: (wave) =>
             [...pendingOrders].filter(([, pending]) => pending.wave === wave)
                 .map(([machine, { isUnanswered, wasObservedInMaintenance }]) => ({
                     machine,
                     isUnanswered,
-                    isSeen: wasObservedInMaintenance,
+                    isObserved: wasObservedInMaintenance,
                 })),
         send(list) {
             const nowMs = clocks.steadyMs();
--- a/src/scheduler/createPacer.ts
+++ b/src/scheduler/createPacer.ts
@@ -1,11 +1,11 @@
 import type { Clocks } from "../clock";
 import type { Tenure } from "../duties";
 import { choosePace } from "../pacing";
-import type { TaskWorkers } from "../runs";
+import type { WorkerApi } from "../runs";
 import type { Run, Worker } from "../schedule";
 
 export interface PacerOptions {
-    readonly api: TaskWorkers;
+    readonly api: WorkerApi;
     readonly tenure: Tenure;
     readonly clocks: Clocks;
 }
--- a/src/scheduler/createPlanner.ts
+++ b/src/scheduler/createPlanner.ts
@@ -1,29 +1,29 @@
-import type { Advisor } from "../advice";
+import type { PermitCache } from "../advice";
 import type { Tenure } from "../duties";
 import type { Policy } from "../policy";
 import type { StartWindow } from "../runs";
 import {
-    type Board,
-    type Estimates,
+    type DurationEstimates,
     groupByPool,
     listAdviceCandidates,
-    planCopies,
+    type PlacementUnit,
+    planSpeculativeRuns,
     planStarts,
-    routeOf,
+    queueOf,
     type Run,
+    type SchedulerState,
     type SubmissionEntry,
     type Task,
-    type Unit,
     type Worker,
 } from "../schedule";
 
 export interface PlannerOptions {
-    readonly board: Board;
-    readonly estimates: Estimates;
+    readonly board: SchedulerState;
+    readonly estimates: DurationEstimates;
     readonly tenure: Tenure;
     readonly steadyMs: () => number;
     readonly policy: () => Policy | undefined;
-    readonly advisor: Advisor;
+    readonly permits: PermitCache;
     readonly window: StartWindow;
     /** Records new runs of a submission and sends their start requests. */
     startAll(entry: SubmissionEntry, runs: readonly Run[]): void;
@@ -77,7 +77,7 @@
             return;
         }
         const planned = planStarts({
-            board,
+            state: board,
             policy,
             estimates,
             nowMs,
@@ -86,30 +86,33 @@
             maxStarts,
         });
         const pools = groupByPool(board);
-        const speculative = planCopies({
-            board,
+        const speculative = planSpeculativeRuns({
+            state: board,
             workersOf: (pool) => pools.get(pool) ?? [],
-            poolOf: (submission) => routeOf(policy, submission).service,
+            poolOf: (submission) => queueOf(policy, submission).service,
             estimates,
             nowMs,
         });
         const bySubmission = new Map<SubmissionEntry, Run[]>();
         opts.window.add([...planned, ...speculative]);
         for (const run of [...planned, ...speculative]) {
-            const group = bySubmission.get(run.task.owner) ?? [];
-            bySubmission.set(run.task.owner, group);
+            const group = bySubmission.get(run.task.entry) ?? [];
+            bySubmission.set(run.task.entry, group);
             group.push(run);
         }
         bySubmission.forEach((group, entry) => opts.startAll(entry, group));
     }
 
-    function findAllowedWorkers(unit: Unit, workers: readonly Worker[]): ReadonlySet<string> | "unknown" | undefined {
+    function findAllowedWorkers(
+        unit: PlacementUnit,
+        workers: readonly Worker[],
+    ): ReadonlySet<string> | "unknown" | undefined {
         const task = unit.tasks[0];
-        if (unit.route.advice === undefined || task === undefined) {
+        if (unit.queue.advice === undefined || task === undefined) {
             return undefined;
         }
         const candidates = listAdviceCandidates(unit, workers, steadyMs()).map(({ id }) => id);
-        return opts.advisor.allowed(stepName(task), candidates) ?? "unknown";
+        return opts.permits.allowedWorkers(adviceStepName(task), candidates) ?? "unknown";
     }
 
     return {
@@ -119,6 +122,6 @@
 }
 
 /** Returns the name of a task's step for the advice service. */
-export function stepName({ owner, occurrence, stepNumber }: Task): string {
+export function adviceStepName({ entry: owner, occurrence, stepNumber }: Task): string {
     return `${owner.submission.id}.${occurrence}.${stepNumber}`;
 }
--- a/src/scheduler/createScheduler.ts
+++ b/src/scheduler/createScheduler.ts
@@ -1,38 +1,38 @@
-import { type Advice, createAdvisor } from "../advice";
+import { type AdviceClient, createPermitCache } from "../advice";
 import { type Clocks, pause } from "../clock";
 import type { Tenure } from "../duties";
 import type { Reporter } from "../logging";
-import { createDemandMeter, createMachineOrders, type Machines } from "../machines";
+import { createDemandMeter, createMachineOrders, type MachineApi } from "../machines";
 import type { Policy, Wave } from "../policy";
 import { createProgressWriter, decodeProgress, progressKey, progressPrefix } from "../progress";
 import {
     applyEnd,
-    createLooks,
-    createRuns,
+    collectDropEvidence,
+    createRunControl,
     createStartWindow,
+    createWorkerPolling,
     DropCause,
-    dropEvidence,
-    type TaskWorkers,
+    type WorkerApi,
 } from "../runs";
 import {
     addDueOccurrences,
-    createBoard,
-    createEstimates,
+    createDurationEstimates,
+    createSchedulerState,
     removeRun,
     removeWorker,
     type Run,
     type SubmissionEntry,
     type Worker,
 } from "../schedule";
-import { createFollower, maxCommitEntries, type Store } from "../store";
+import { createPrefixWatcher, maxCommitOperations, type Store } from "../store";
 import { submissionKey, submissionPrefix, type SubmissionState } from "../submissions";
-import { createFleetKeeper } from "./createFleetKeeper";
-import { createIntake } from "./createIntake";
+import { createFleetController } from "./createFleetController";
 import { createPacer } from "./createPacer";
-import { createPlanner, stepName } from "./createPlanner";
+import { adviceStepName, createPlanner } from "./createPlanner";
+import { createSubmissionTracker } from "./createSubmissionTracker";
 import { createWatchdog } from "./createWatchdog";
-import { createWorkerIntake } from "./createWorkerIntake";
-import type { WorkerDecoder } from "./workerEntries";
+import { createWorkerTracker } from "./createWorkerTracker";
+import type { WorkerDecoder } from "./workerRegistration";
 
 /** Limits and durations of the platform that the scheduler's decisions depend on. */
 export interface SchedulerBounds {
@@ -54,9 +54,9 @@
 
 export interface SchedulerOptions {
     readonly store: Store;
-    readonly workerApi: TaskWorkers;
-    readonly machines: Machines;
-    readonly advice: Advice;
+    readonly workerApi: WorkerApi;
+    readonly machines: MachineApi;
+    readonly advice: AdviceClient;
     readonly decoder: WorkerDecoder;
     readonly tenure: Tenure;
     readonly holder: string;
@@ -120,8 +120,8 @@
 /** Schedules tasks and machines of all pools while the tenure lasts. */
 export function createScheduler(opts: SchedulerOptions): Scheduler {
     const { store, tenure, clocks, report } = opts;
-    const board = createBoard();
-    const estimates = createEstimates();
+    const board = createSchedulerState();
+    const estimates = createDurationEstimates();
     const joinMs = opts.bounds.moveMs + joinOverheadMs;
     const meter = createDemandMeter(joinMs);
     const startedAtMs = clocks.steadyMs();
@@ -138,20 +138,20 @@
     function drop(run: Run, cause: DropCause, reason: string): void {
         const { task, worker, number } = run;
         const nowMs = clocks.steadyMs();
-        const evidence = dropEvidence(worker, startedAtMs, nowMs);
+        const evidence = collectDropEvidence(worker, startedAtMs, nowMs);
         report({ kind: "runDropped", task: task.name, run: number, worker: worker.id, cause, reason, ...evidence });
         if (cause !== DropCause.notOrdered) {
             task.droppedRuns.add(number);
         }
         removeRun(board, run, nowMs);
-        submissionTracker.forgetIfOver(task.owner);
+        submissionTracker.forgetIfOver(task.entry);
         planner.planSoon();
     }
 
     function handleIncarnationEnded(worker: Worker, reason: string): void {
         report({ kind: "workerEnded", worker: worker.id, pool: worker.pool, runs: worker.runs.size, reason });
-        worker.isListed = false;
-        worker.strays = 0;
+        worker.isRegistered = false;
+        worker.strayRunCount = 0;
         [...worker.runs].forEach((run) => drop(run, DropCause.lifeEnded, reason));
         removeWorker(board, worker);
     }
@@ -161,24 +161,24 @@
         tenure,
         report,
         onFenced,
-        onEnded: (entry) => submissionTracker.noteEnded(entry),
+        onEnded: (entry) => submissionTracker.handleFinalStored(entry),
         onCancelled: (entry) => submissionTracker.cancel(entry),
     });
     const startWindow = createStartWindow(clocks.steadyMs);
-    const runControl = createRuns({
+    const runControl = createRunControl({
         api: opts.workerApi,
         tenure,
         clocks,
         report,
         drop,
         onFenced,
-        onLifeEnded: handleIncarnationEnded,
-        lookNow: (worker) => polling.lookNow(worker),
-        findTicket: ({ task, worker }) => permitCache.ticket(stepName(task), worker.id),
-        onStartAnswered: startWindow.noteAnswer,
+        onIncarnationEnded: handleIncarnationEnded,
+        pollNow: (worker) => polling.pollNow(worker),
+        findTicket: ({ task, worker }) => permitCache.ticket(adviceStepName(task), worker.id),
+        onStartAnswered: startWindow.recordAnswer,
         onChange: () => planner.planSoon(),
     });
-    const polling = createLooks({
+    const polling = createWorkerPolling({
         api: opts.workerApi,
         tenure,
         clocks,
@@ -200,31 +200,31 @@
         drop,
         sendStops: runControl.sendStops,
         onFenced,
-        onLifeEnded: handleIncarnationEnded,
-        onOtherLife: (worker, bornMs) => workerTracker.noteOtherLife(worker, bornMs),
+        onIncarnationEnded: handleIncarnationEnded,
+        onOtherIncarnation: (worker, bornMs) => workerTracker.handleOtherIncarnation(worker, bornMs),
         onListed(worker) {
             pacer.adjust(worker);
             watchdog.check(worker);
         },
         onChange: () => planner.planSoon(),
     });
-    const permitCache = createAdvisor({
+    const permitCache = createPermitCache({
         advice: opts.advice,
         steadyMs: clocks.steadyMs,
         report,
         onChange: () => planner.planSoon(),
     });
-    const workerTracker = createWorkerIntake({
+    const workerTracker = createWorkerTracker({
         board,
         decoder: opts.decoder,
         report,
         steadyMs: clocks.steadyMs,
-        onLifeEnded: handleIncarnationEnded,
-        isOrdered: (worker) => fleetController.isOrdered(worker),
+        onIncarnationEnded: handleIncarnationEnded,
+        hasPendingOrder: (worker) => fleetController.hasPendingOrder(worker),
         evacuatedZones: opts.evacuatedZones,
         follow: polling.follow,
     });
-    const submissionTracker = createIntake({
+    const submissionTracker = createSubmissionTracker({
         board,
         estimates,
         meter,
@@ -240,7 +240,7 @@
         tenure,
         steadyMs: clocks.steadyMs,
         policy: () => opts.isPolicyFresh() ? opts.policy() : undefined,
-        advisor: permitCache,
+        permits: permitCache,
         window: startWindow,
         startAll: (entry, group) => void startAll(entry, group),
     });
@@ -252,9 +252,9 @@
         tenure,
         orderer: { holder: opts.holder, token: tenure.token },
         report,
-        turnMs: opts.bounds.machineTurnMs,
+        minHandoverMs: opts.bounds.machineTurnMs,
     });
-    const fleetController = createFleetKeeper({
+    const fleetController = createFleetController({
         board,
         clocks,
         report,
@@ -272,8 +272,8 @@
         ordersPerSecond: opts.bounds.machineOrdersPerSecond,
         reportWave: opts.reportWave,
         stop: runControl.stop,
-        lookNow: polling.lookNow,
-        onLifeEnded: handleIncarnationEnded,
+        pollNow: polling.pollNow,
+        onIncarnationEnded: handleIncarnationEnded,
         onChange: () => planner.planSoon(),
     });
 
@@ -283,7 +283,7 @@
         }
         for (const run of group) {
             if (run.worker.runs.has(run)) {
-                entry.hasBegun = true;
+                entry.hasStarted = true;
                 void runControl.start(run);
                 polling.follow(run.worker);
             }
@@ -304,7 +304,7 @@
         }
         for (const worker of board.workers.values()) {
             polling.follow(worker);
-            if (!worker.isListed && worker.runs.size === 0) {
+            if (!worker.isRegistered && worker.runs.size === 0) {
                 removeWorker(board, worker);
             }
         }
@@ -329,26 +329,26 @@
         }
     }
 
-    const submissionWatcher = createFollower({
+    const submissionWatcher = createPrefixWatcher({
         store,
         prefix: submissionPrefix,
         waitMs: watchTimeoutMs,
         pauseMs: submissionBatchMs,
         nowMs: clocks.suspendAwareMs,
-        onItem: submissionTracker.take,
+        onItem: submissionTracker.handleRecord,
         onBatch() {
             startWorkerWatcher();
             planner.planSoon();
         },
-        isItemKept: false,
+        keepsText: false,
     });
-    const workerWatcher = createFollower({
+    const workerWatcher = createPrefixWatcher({
         store,
         prefix: opts.decoder.prefix,
         waitMs: watchTimeoutMs,
         pauseMs: workerBatchMs,
         nowMs: clocks.suspendAwareMs,
-        onItem: workerTracker.take,
+        onItem: workerTracker.handleRegistration,
         onBatch: () => planner.planSoon(),
     });
 
@@ -414,4 +414,4 @@
  * Finished submissions removed per commit. Each takes two operations, its record and its progress. One is the
  * condition.
  */
-const maxRemovedPerCommit = Math.floor((maxCommitEntries - 1) / 2);
+const maxRemovedPerCommit = Math.floor((maxCommitOperations - 1) / 2);
--- a/src/scheduler/createIntake.ts
+++ b/src/scheduler/createSubmissionTracker.ts
@@ -4,11 +4,11 @@
 import {
     addDueOccurrences,
     addSubmission,
-    type Board,
-    type Estimates,
+    type DurationEstimates,
+    estimateRemaining,
     isComplete,
-    lookAhead,
     type Run,
+    type SchedulerState,
     type SubmissionEntry,
     tasksOf,
     type Worker,
@@ -17,9 +17,9 @@
 import { decodeRecord, type FinalState, submissionPrefix, SubmissionState } from "../submissions";
 import { restoreProgress } from "./restoreProgress";
 
-export interface IntakeOptions {
-    readonly board: Board;
-    readonly estimates: Estimates;
+export interface SubmissionTrackerOptions {
+    readonly board: SchedulerState;
+    readonly estimates: DurationEstimates;
     readonly meter: DemandMeter;
     readonly report: Reporter;
     readonly steadyMs: () => number;
@@ -37,11 +37,11 @@
 }
 
 /** Tracks submissions during a tenure, from their record in the store to their final state. */
-export interface Intake {
+export interface SubmissionTracker {
     /** Sets the progress that earlier leaders recorded. Has to be called before any submission is handled. */
     restoreFrom(progress: ReadonlyMap<string, StoredProgress>): void;
     /** Handles a new or changed submission record from the store. `item` is `undefined` if the record was removed. */
-    take(key: string, item: StoreItem | undefined): void;
+    handleRecord(key: string, item: StoreItem | undefined): void;
     /** Marks a submission as cancelled and decides its final state. */
     cancel(entry: SubmissionEntry): void;
     /**
@@ -50,7 +50,7 @@
      */
     settle(entry: SubmissionEntry): void;
     /** Handles that the final state has been written to the store. */
-    noteEnded(entry: SubmissionEntry): void;
+    handleFinalStored(entry: SubmissionEntry): void;
     /** Whether the final state is in the store. */
     hasEnded(entry: SubmissionEntry): boolean;
     /** Removes a submission from the scheduler state if its final state is stored and none of its tasks runs. */
@@ -68,7 +68,7 @@
 }
 
 /** Creates a tracker that adds submissions from the store and follows each to its final state. */
-export function createIntake(opts: IntakeOptions): Intake {
+export function createSubmissionTracker(opts: SubmissionTrackerOptions): SubmissionTracker {
     const { board, report, steadyMs } = opts;
     const finalStates = new Map<string, { readonly state: FinalState; readonly atMs: number; }>();
     let storedProgress: ReadonlyMap<string, StoredProgress> = new Map();
@@ -101,10 +101,10 @@
         }
         addDueOccurrences(entry, Date.now(), nowMs);
         const ageMs = Math.max(0, Date.now() - record.submission.acceptedAtMs);
-        const { workCoreMs, chainMs } = lookAhead(entry, opts.estimates, nowMs);
+        const { workCoreMs, criticalPathMs: chainMs } = estimateRemaining(entry, opts.estimates, nowMs);
         if (workCoreMs > 0) {
             const cpuMillis = 1000 * workCoreMs / Math.max(1, chainMs);
-            opts.meter.note(record.submission.service, { cpuMillis, stayMs: chainMs }, nowMs, ageMs);
+            opts.meter.recordArrival(record.submission.service, { cpuMillis, minDurationMs: chainMs }, nowMs, ageMs);
         }
         reportChange(entry, "taken");
         settle(entry);
@@ -121,30 +121,30 @@
     }
 
     function settle(entry: SubmissionEntry): void {
-        if (entry.ending !== undefined) {
+        if (entry.finalState !== undefined) {
             return;
         }
         const tasks = [...tasksOf(entry)];
         if (entry.isCancelled) {
-            entry.ending = "cancelled";
+            entry.finalState = "cancelled";
         }
         else if (tasks.some(({ phase }) => phase === "failed")) {
-            entry.ending = "failed";
+            entry.finalState = "failed";
         }
         else if (isComplete(entry)) {
-            entry.ending = "complete";
+            entry.finalState = "complete";
         }
         else {
             return;
         }
-        const { ending } = entry;
+        const { finalState: ending } = entry;
         tasks.forEach((task) => [...task.runs].forEach((run) => opts.stop(run, `its submission is ${ending}`)));
         opts.save(entry);
     }
 
     function forgetIfOver(entry: SubmissionEntry): void {
         // Runs that are still being stopped are found through their submission.
-        const isFinal = finalStates.has(entry.submission.id) && entry.ending !== undefined;
+        const isFinal = finalStates.has(entry.submission.id) && entry.finalState !== undefined;
         if (isFinal && [...tasksOf(entry)].every((task) => task.runs.length === 0)) {
             board.submissions.delete(entry.submission.id);
         }
@@ -152,13 +152,13 @@
 
     return {
         restoreFrom: (next) => void (storedProgress = next),
-        take: applyRecord,
+        handleRecord: applyRecord,
         cancel,
         settle,
-        noteEnded(entry) {
-            if (entry.ending !== undefined) {
-                finalStates.set(entry.submission.id, { state: entry.ending, atMs: Date.now() });
-                reportChange(entry, entry.ending);
+        handleFinalStored(entry) {
+            if (entry.finalState !== undefined) {
+                finalStates.set(entry.submission.id, { state: entry.finalState, atMs: Date.now() });
+                reportChange(entry, entry.finalState);
             }
             forgetIfOver(entry);
         },
@@ -172,14 +172,14 @@
             }
             return entry.isCancelled
                 ? SubmissionState.cancelled
-                : entry.hasBegun
+                : entry.hasStarted
                 ? SubmissionState.running
                 : SubmissionState.pending;
         },
         countPending(route) {
             let count = 0;
             for (const entry of board.submissions.values()) {
-                const isWaiting = !entry.hasBegun && !entry.isCancelled;
+                const isWaiting = !entry.hasStarted && !entry.isCancelled;
                 count += isWaiting && entry.submission.route === route ? 1 : 0;
             }
             return count;
--- a/src/scheduler/createWatchdog.ts
+++ b/src/scheduler/createWatchdog.ts
@@ -1,11 +1,11 @@
 import type { Clocks } from "../clock";
 import type { Reporter } from "../logging";
-import { type Board, type Estimates, quarantine, type Run, type Worker } from "../schedule";
+import { type DurationEstimates, quarantine, type Run, type SchedulerState, type Worker } from "../schedule";
 
 export interface WatchdogOptions {
-    readonly board: Board;
+    readonly board: SchedulerState;
     readonly clocks: Clocks;
-    readonly estimates: Estimates;
+    readonly estimates: DurationEstimates;
     readonly report: Reporter;
     stop(run: Run, reason: string): void;
 }
@@ -31,7 +31,7 @@
     const { board, clocks } = opts;
 
     function isStalled(run: Run, nowMs: number): boolean {
-        const isObservedRunning = run.phase === "running" && run.seenAtMs !== undefined;
+        const isObservedRunning = run.phase === "running" && run.firstListedAtMs !== undefined;
         const { isLongRunning, isGang, isFiller } = run.task.step;
         if (!isObservedRunning || isGang || isFiller || (isLongRunning && run.percent === 100)) {
             return false;
@@ -49,7 +49,7 @@
                 continue;
             }
             const { step } = run.task;
-            const remainingMs = opts.estimates.expectMs(run.task) * (1 - run.percent / 100);
+            const remainingMs = opts.estimates.expectedDurationMs(run.task) * (1 - run.percent / 100);
             if (step.isLongRunning || (step.hasCheckpoints && remainingMs > worker.drainLeftMs)) {
                 opts.stop(run, "its worker is draining");
             }
@@ -76,7 +76,7 @@
         },
         tick() {
             for (const worker of board.workers.values()) {
-                if (worker.isDraining && worker.isListed) {
+                if (worker.isDraining && worker.isRegistered) {
                     stopUnfinishable(worker);
                 }
             }
--- a/src/scheduler/createWaves.ts
+++ b/src/scheduler/createWaveController.ts
@@ -1,13 +1,19 @@
 import type { Clocks } from "../clock";
-import { chooseUpkeep, hasSlack, type Machine, type MachineOrder, type MachineOrders } from "../machines";
+import {
+    canDeferMaintenance,
+    chooseMaintenance,
+    type Machine,
+    type MachineOrder,
+    type MachineOrders,
+} from "../machines";
 import type { Wave } from "../policy";
-import type { Board, Run, Worker } from "../schedule";
-import { chooseEvacuations } from "./chooseEvacuations";
+import type { Run, SchedulerState, Worker } from "../schedule";
+import { chooseEvictions } from "./chooseEvictions";
 import type { FleetView } from "./createFleetView";
-import { countStaying, emptyingMs } from "./emptyingMs";
+import { countLongRunningTasks, minEmptyingMs } from "./minEmptyingMs";
 
-export interface WavesOptions {
-    readonly board: Board;
+export interface WaveControllerOptions {
+    readonly board: SchedulerState;
     readonly clocks: Clocks;
     readonly view: FleetView;
     readonly orders: MachineOrders;
@@ -30,7 +36,7 @@
     readonly mayWait: boolean;
 }
 
-export interface Waves {
+export interface WaveController {
     /** Lists the waves that have not been reported as complete. */
     listOpen(): readonly OpenWave[];
     /**
@@ -53,7 +59,7 @@
 const removedAfterMs = 5000;
 
 /** Carries out maintenance waves: empties their machines, orders the maintenance and reports complete waves. */
-export function createWaves(opts: WavesOptions): Waves {
+export function createWaveController(opts: WaveControllerOptions): WaveController {
     const { board, clocks, view, orders } = opts;
     const { machines } = view;
     const missingSinceMs = new Map<string, number>();
@@ -70,7 +76,7 @@
             return 0;
         }
         const worker = view.workerOf(machine);
-        return worker?.runList.kind === "read" && worker.strays === 0 ? worker.runs.size : undefined;
+        return worker?.runList.kind === "read" && worker.strayRunCount === 0 ? worker.runs.size : undefined;
     }
 
     function isEvacuated({ zone }: Machine): boolean {
@@ -93,7 +99,7 @@
         const sinceMs = emptyingSinceMs.get(id) ?? nowMs;
         emptyingSinceMs.set(id, sinceMs);
         const isUrgent = nowMs - sinceMs > maxEmptyingMs;
-        for (const run of chooseEvacuations(worker, { board, isUrgent, nowMs, maxStopMs: opts.maxStopMs })) {
+        for (const run of chooseEvictions(worker, { board, isUrgent, nowMs, maxStopMs: opts.maxStopMs })) {
             opts.stop(run, "its machine is due for maintenance");
         }
     }
@@ -103,7 +109,7 @@
      */
     function releaseMachines(wave: Wave, prepared: readonly string[]): void {
         for (const id of wave.machines) {
-            if (!emptyingSinceMs.has(id) || prepared.includes(id) || !view.isFree(id)) {
+            if (!emptyingSinceMs.has(id) || prepared.includes(id) || !view.isOrderable(id)) {
                 continue;
             }
             emptyingSinceMs.delete(id);
@@ -147,7 +153,7 @@
      * @param longestEmptyingMs time that it takes to empty the deferred machine, in milliseconds; 0 for any machine
      */
     function mayWait(wave: Wave, longestEmptyingMs = 0): boolean {
-        return hasSlack({
+        return canDeferMaintenance({
             wave,
             begun: orders.begun(wave.wave),
             sinceMs: Date.now() - orders.waveSeenAtMs(wave.wave),
@@ -158,10 +164,10 @@
 
     /** Machines of the wave that take so long to empty that the emptying has to begin now. */
     function findSlowToEmpty(wave: Wave): ReadonlySet<string> {
-        const counts = countStaying(workersDue(wave));
+        const counts = countLongRunningTasks(workersDue(wave));
         const slowToEmpty = wave.machines.filter((id) => {
             const worker = view.workerOf(machines.get(id));
-            const neededMs = worker === undefined ? 0 : emptyingMs(worker, counts, opts.maxStopMs);
+            const neededMs = worker === undefined ? 0 : minEmptyingMs(worker, counts, opts.maxStopMs);
             return neededMs > 0 && !mayWait(wave, neededMs);
         });
         return new Set(slowToEmpty);
@@ -188,14 +194,14 @@
         decide(open, isNeeded) {
             const { wave } = open;
             const slowToEmpty = findSlowToEmpty(wave);
-            const maintenance = view.onUpkeep(wave.wave);
+            const maintenance = view.listMaintenance(wave.wave);
             const down = new Set(maintenance.map(({ machine }) => machine));
             // The list may not show yet what an earlier leader has just ordered.
             wave.machines
                 .filter((id) => machines.get(id)?.state === "maintenance" || orders.isBlocked(id))
                 .forEach((id) => down.add(id));
             const begun = orders.begun(wave.wave);
-            const choice = chooseUpkeep({
+            const choice = chooseMaintenance({
                 wave,
                 machines,
                 begun,
@@ -205,22 +211,22 @@
                 isNeeded: (machine) => isNeeded(machine) && !slowToEmpty.has(machine.id) && !isEvacuated(machine),
                 mayWait: open.mayWait,
                 isEmptying: (id) => emptyingSinceMs.has(id),
-                isUnused: isEvacuated,
+                isUnusable: isEvacuated,
             });
             void reportCompletion(wave, choice.isComplete && view.isKnown());
             wave.machines.filter((id) => begun.has(id)).forEach((id) => emptyingSinceMs.delete(id));
             const unansweredOrders = maintenance.filter(({ isUnanswered }) => isUnanswered);
             // The order may have been lost, and the machine's next worker may have taken work before the order is sent
             // again.
-            const occupiedMachines = unansweredOrders.filter((order) => !order.isSeen && isOccupied(order.machine));
-            [...choice.prepare.filter(view.isFree), ...occupiedMachines.map(({ machine }) => machine)].forEach(
+            const occupiedMachines = unansweredOrders.filter((order) => !order.isObserved && isOccupied(order.machine));
+            [...choice.emptyNext.filter(view.isOrderable), ...occupiedMachines.map(({ machine }) => machine)].forEach(
                 emptyMachine,
             );
-            releaseMachines(wave, choice.prepare);
+            releaseMachines(wave, choice.emptyNext);
             const resendIds = unansweredOrders.filter((order) => !occupiedMachines.includes(order)).map(({ machine }) =>
                 machine
             );
-            return [...choice.now.filter(view.isFree), ...resendIds].map((machine) => ({
+            return [...choice.startNow.filter(view.isOrderable), ...resendIds].map((machine) => ({
                 kind: "maintain",
                 machine,
                 wave: wave.wave,
--- a/src/scheduler/findUnplaceable.ts
+++ b/src/scheduler/findUnplaceable.ts
@@ -35,9 +35,9 @@
  * in thousandths. A step that allows one task per worker fills a pool that looks half empty. When such tasks were stopped
  * before their next machine had joined, each was unavailable for three seconds, and a wave took five seconds for each.
  */
-export function unplaceableStayingCpuMillis(workers: readonly Worker[], nowMs: number): number {
+export function unplaceableLongRunningCpuMillis(workers: readonly Worker[], nowMs: number): number {
     let cpuMillis = 0;
-    for (const { isListed, isReserved, runs } of workers) {
+    for (const { isRegistered: isListed, isReserved, runs } of workers) {
         for (const { phase, task } of isListed && isReserved ? runs : []) {
             if (phase === "running" && task.step.isLongRunning && !isPlaceable(task, workers, nowMs)) {
                 cpuMillis += task.step.size.cpuMillis;
--- a/src/scheduler/index.ts
+++ b/src/scheduler/index.ts
@@ -2,4 +2,4 @@
 export { createConsolidator } from "./createConsolidator";
 export { createScheduler, type Scheduler, type SchedulerBounds } from "./createScheduler";
 export { measureDemand } from "./measureDemand";
-export type { WorkerDecoder, WorkerEntry } from "./workerEntries";
+export type { WorkerDecoder, WorkerRegistration } from "./workerRegistration";
--- a/src/scheduler/measureDemand.ts
+++ b/src/scheduler/measureDemand.ts
@@ -1,25 +1,25 @@
-import { type DemandMeter, forecastNeedCpuMillis, leastMissingShare, type PoolDemand } from "../machines";
+import { type DemandMeter, forecastNeedCpuMillis, minMissingShare, type PoolDemand } from "../machines";
 import type { Policy } from "../policy";
 import {
-    type Board,
-    type Estimates,
+    acceptsNewWork,
+    desiredCpuMillis,
+    type DurationEstimates,
+    estimateRemaining,
     groupByPool,
-    isOpen,
-    lookAhead,
-    paceOfWorkCpuMillis,
-    routeOf,
+    queueOf,
+    type SchedulerState,
     type SubmissionEntry,
     targetAgeMs,
     waitingCpuMillis,
     type Worker,
 } from "../schedule";
-import { unplaceableCpuMillis, unplaceableStayingCpuMillis } from "./findUnplaceable";
-import { sumRoom } from "./sumRoom";
+import { unplaceableCpuMillis, unplaceableLongRunningCpuMillis } from "./findUnplaceable";
+import { sumPoolUsage } from "./sumPoolUsage";
 
 export interface DemandOptions {
-    readonly board: Board;
+    readonly board: SchedulerState;
     readonly policy: Policy;
-    readonly estimates: Estimates;
+    readonly estimates: DurationEstimates;
     readonly meter: DemandMeter;
     readonly nowMs: number;
     /** Cores of the machines that are moving to a pool, in thousandths. */
@@ -58,7 +58,7 @@
 export function measureDemand(opts: DemandOptions): readonly PoolDemand[] {
     const pools = groupByPool(opts.board);
     const open = sumOpenWork(opts);
-    return [...opts.policy.services.values()].map(({ name, isStandby }) =>
+    return [...opts.policy.pools.values()].map(({ name, isStandby }) =>
         measurePool(name, isStandby, pools.get(name) ?? [], open.get(name) ?? createOpenWork(), opts)
     );
 }
@@ -71,14 +71,14 @@
     opts: DemandOptions,
 ): PoolDemand {
     const { meter, nowMs, joinMs } = opts;
-    const usage = sumRoom(workers.filter(isOpen));
+    const usage = sumPoolUsage(workers.filter(acceptsNewWork));
     const availableCpuMillis = usage.cpuMillis - usage.longRunningCpuMillis;
     const comingCpuMillis = opts.comingCpuMillis(pool);
     const shortTaskCpuMillis = forecastNeedCpuMillis({
         openCpuMillis: open.cpuMillis,
         openCoreMs: open.coreMs,
-        arrivingCpuMillis: meter.arrivingCpuMillis(pool, nowMs),
-        roomCpuMillis: availableCpuMillis,
+        arrivingCpuMillis: meter.forecastArrivingCpuMillis(pool, nowMs),
+        capacityCpuMillis: availableCpuMillis,
         comingCpuMillis,
         joinMs,
     });
@@ -87,20 +87,23 @@
     // size of its machines is unknown. When such a pool counted as short, a small task waited eleven seconds and no
     // machine came.
     const isShort = usage.workers > 0
-        && neededCpuMillis - availableCpuMillis >= leastMissingShare * usage.largestCpuMillis;
+        && neededCpuMillis - availableCpuMillis >= minMissingShare * usage.largestCpuMillis;
     const checkedSubmissions = isShort ? [] : open.waitingSubmissions.slice(0, maxCheckedSubmissions);
     const unplaceable = checkedSubmissions.reduce((sum, entry) => sum + unplaceableCpuMillis(entry, workers, nowMs), 0);
     return {
         pool,
         isStandby,
         waitingCpuMillis: open.waitingCpuMillis,
-        unplaceableCpuMillis: unplaceable + unplaceableStayingCpuMillis(workers, nowMs),
+        unplaceableCpuMillis: unplaceable + unplaceableLongRunningCpuMillis(workers, nowMs),
         neededCpuMillis,
-        roomCpuMillis: availableCpuMillis,
+        capacityCpuMillis: availableCpuMillis,
         comingCpuMillis,
-        reserveCpuMillis: reservedSubmissions * meter.typicalCpuMillis(pool),
-        machines: workers.filter(({ isListed, isReserved, isEvacuated }) => isListed && !isReserved && !isEvacuated)
-            .length,
+        reserveCpuMillis: reservedSubmissions * meter.meanSubmissionCpuMillis(pool),
+        machineCount:
+            workers.filter(({ isRegistered: isListed, isReserved, isEvacuated }) =>
+                isListed && !isReserved && !isEvacuated
+            )
+                .length,
     };
 }
 
@@ -111,8 +114,8 @@
 function sumOpenWork(opts: DemandOptions): ReadonlyMap<string, OpenWork> {
     const pools = new Map<string, OpenWork>();
     for (const entry of opts.board.submissions.values()) {
-        if (entry.ending === undefined) {
-            const { service } = routeOf(opts.policy, entry.submission);
+        if (entry.finalState === undefined) {
+            const { service } = queueOf(opts.policy, entry.submission);
             const open = pools.get(service) ?? createOpenWork();
             pools.set(service, open);
             addOpenWork(open, entry, opts);
@@ -132,9 +135,9 @@
         open.waitingLongRunningCpuMillis += cpuMillis;
         return;
     }
-    const outlook = lookAhead(entry, opts.estimates, opts.nowMs);
-    const deadlineAgeMs = targetAgeMs(routeOf(opts.policy, submission), outlook);
-    open.cpuMillis += paceOfWorkCpuMillis(outlook, deadlineAgeMs, opts.timeOfDayMs - submission.acceptedAtMs);
+    const outlook = estimateRemaining(entry, opts.estimates, opts.nowMs);
+    const deadlineAgeMs = targetAgeMs(queueOf(opts.policy, submission), outlook);
+    open.cpuMillis += desiredCpuMillis(outlook, deadlineAgeMs, opts.timeOfDayMs - submission.acceptedAtMs);
     open.coreMs += outlook.workCoreMs;
 }
 
@@ -144,8 +147,8 @@
  * Without a second machine on its way, the maintenance came late or the tasks were unavailable for its whole duration.
  */
 function replacementCpuMillis(workers: readonly Worker[]): number {
-    const leavingWorkers = workers.filter(({ isListed, isDraining, isReserved }) =>
+    const leavingWorkers = workers.filter(({ isRegistered: isListed, isDraining, isReserved }) =>
         isListed && (isDraining || isReserved)
     );
-    return sumRoom(leavingWorkers).longRunningCpuMillis;
+    return sumPoolUsage(leavingWorkers).longRunningCpuMillis;
 }
--- a/src/scheduler/emptyingMs.ts
+++ b/src/scheduler/minEmptyingMs.ts
@@ -5,7 +5,7 @@
 const restartMs = 1000;
 
 /** Counts the tasks of each long-running step on the given workers. */
-export function countStaying(workers: readonly Worker[]): ReadonlyMap<Step, number> {
+export function countLongRunningTasks(workers: readonly Worker[]): ReadonlyMap<Step, number> {
     const counts = new Map<Step, number>();
     for (const { runs } of workers) {
         for (const { task: { step } } of runs) {
@@ -29,7 +29,7 @@
  * @param counts number of tasks of each step on all workers that are due, including this one
  * @param maxStopMs longest time that a stop takes, in milliseconds
  */
-export function emptyingMs(worker: Worker, counts: ReadonlyMap<Step, number>, maxStopMs: number): number {
+export function minEmptyingMs(worker: Worker, counts: ReadonlyMap<Step, number>, maxStopMs: number): number {
     let rounds = 0;
     for (const { task: { step } } of worker.runs) {
         if (step.isLongRunning && step.maxUnavailable > 0) {
--- a/src/scheduler/restoreProgress.ts
+++ b/src/scheduler/restoreProgress.ts
@@ -1,12 +1,12 @@
 import type { TaskProgress } from "../progress";
-import { addOccurrence, addRun, type Board, type SubmissionEntry, type Worker } from "../schedule";
+import { addOccurrence, addRun, type SchedulerState, type SubmissionEntry, type Worker } from "../schedule";
 
 /**
  * Restores a submission's progress, as an earlier leader recorded it, into the scheduler state. Recorded starts may be
  * running. They stay `unconfirmed` until their worker has been polled or its leases have expired.
  */
 export function restoreProgress(
-    board: Board,
+    board: SchedulerState,
     entry: SubmissionEntry,
     progress: readonly TaskProgress[],
     findWorker: (id: string, bornMs: number) => Worker,
@@ -20,7 +20,7 @@
         if (task === undefined) {
             continue;
         }
-        entry.hasBegun = true;
+        entry.hasStarted = true;
         task.phase = row.phase;
         task.lastRun = row.lastRun;
         task.checkpoint = row.checkpoint;
--- a/src/scheduler/sumRoom.ts
+++ b/src/scheduler/sumPoolUsage.ts
@@ -1,7 +1,7 @@
 import type { Worker } from "../schedule";
 
 /** Cores of a pool's workers and their use, in thousandths of a core. */
-export interface PoolRoom {
+export interface PoolUsage {
     readonly workers: number;
     readonly cpuMillis: number;
     readonly largestCpuMillis: number;
@@ -10,11 +10,11 @@
     /** Number of workers that run nothing. */
     readonly emptyWorkers: number;
     /** Number of workers that run only long-running tasks. */
-    readonly stayingWorkers: number;
+    readonly longRunningOnlyWorkers: number;
 }
 
 /** Sums the capacity and the use of a pool's workers. */
-export function sumRoom(workers: readonly Worker[]): PoolRoom {
+export function sumPoolUsage(workers: readonly Worker[]): PoolUsage {
     const sum = { cpuMillis: 0, largestCpuMillis: 0, longRunningCpuMillis: 0, shortCpuMillis: 0 };
     let [emptyWorkers, longRunningOnlyCount] = [0, 0];
     for (const { capacity, runs } of workers) {
@@ -30,5 +30,5 @@
         emptyWorkers += runs.size === 0 ? 1 : 0;
         longRunningOnlyCount += runs.size > 0 && longRunningCount === runs.size ? 1 : 0;
     }
-    return { ...sum, workers: workers.length, emptyWorkers, stayingWorkers: longRunningOnlyCount };
+    return { ...sum, workers: workers.length, emptyWorkers, longRunningOnlyWorkers: longRunningOnlyCount };
 }
--- a/src/scheduler/test/demand.steps.ts
+++ b/src/scheduler/test/demand.steps.ts
@@ -6,15 +6,15 @@
 import {
     addDueOccurrences,
     addSubmission,
-    type Board,
-    createBoard,
-    createEstimates,
+    createDurationEstimates,
+    createSchedulerState,
     createWorker,
+    type SchedulerState,
 } from "../../schedule";
 import { measureDemand } from "../index";
 
 interface World {
-    board: Board;
+    board: SchedulerState;
     policy: Policy;
     nowMs: number;
 }
@@ -23,7 +23,7 @@
 const joinMs = 2000;
 
 Before(function(this: World) {
-    this.board = createBoard();
+    this.board = createSchedulerState();
     this.policy = { ...plainPolicy, tenants: [] };
     this.nowMs = startMs;
 });
@@ -33,7 +33,7 @@
         const worker = Object.assign(createWorker(`worker-${at + 1}`, 1), {
             pool: "stalls",
             capacity: { cpuMillis: cores * 1000, memoryMb: 64_000, accelerators: 0 },
-            isListed: true,
+            isRegistered: true,
             runList: { kind: "read" as const, firstReadAtMs: 0, askedAtMs: 0 },
         });
         this.board.workers.set(worker.id, worker);
@@ -69,7 +69,7 @@
     const [demand] = measureDemand({
         board,
         policy,
-        estimates: createEstimates(),
+        estimates: createDurationEstimates(),
         meter: createDemandMeter(joinMs),
         nowMs,
         comingCpuMillis: () => 0,
--- a/src/scheduler/test/fleetView.steps.ts
+++ b/src/scheduler/test/fleetView.steps.ts
@@ -1,13 +1,13 @@
 import { Before, Given, Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
 import type { Machine, MachineOrder, MachineOrderResult, MachineState } from "../../machines";
-import { type Board, createBoard, createWorker, type Run, type Worker } from "../../schedule";
+import { createSchedulerState, createWorker, type Run, type SchedulerState, type Worker } from "../../schedule";
 import { createFleetView, type FleetView } from "../createFleetView";
 
 interface World {
     nowMs: number;
     machine: Machine;
-    board: Board;
+    board: SchedulerState;
     worker: Worker;
     view: FleetView;
     polled: Worker[];
@@ -43,14 +43,14 @@
         maintenanceMs: 2000,
         standby: () => undefined,
         evacuatedZones: () => new Set(),
-        lookNow: (worker) => world.polled.push(worker),
-        onLifeEnded: (worker) => world.ended.push(worker),
+        pollNow: (worker) => world.polled.push(worker),
+        onIncarnationEnded: (worker) => world.ended.push(worker),
     });
 }
 
 function addWorker(world: World, bornMs: number): void {
     world.worker = createWorker("worker-1", bornMs);
-    world.worker.isListed = true;
+    world.worker.isRegistered = true;
     world.worker.runList = { kind: "read", firstReadAtMs: 0, askedAtMs: 0 };
     world.board.workers.set(world.worker.id, world.worker);
 }
@@ -64,7 +64,7 @@
     this.nowMs = 10_000;
     this.polled = [];
     this.ended = [];
-    this.board = createBoard();
+    this.board = createSchedulerState();
     this.machine = {
         id: "machine-1",
         pool: "stalls",
@@ -128,11 +128,11 @@
 });
 
 Then("the machine can be ordered", function(this: World) {
-    assert.equal(this.view.isFree("machine-1"), true);
+    assert.equal(this.view.isOrderable("machine-1"), true);
 });
 
 Then("the machine cannot be ordered", function(this: World) {
-    assert.equal(this.view.isFree("machine-1"), false);
+    assert.equal(this.view.isOrderable("machine-1"), false);
 });
 
 Then("its worker takes work", function(this: World) {
--- a/src/scheduler/workerEntries.ts
+++ b/src/scheduler/workerRegistration.ts
@@ -1,7 +1,7 @@
 import type { Resources } from "../resources";
 
 /** A worker's registration in the platform's store, written by the worker. */
-export interface WorkerEntry {
+export interface WorkerRegistration {
     readonly id: string;
     readonly bornMs: number;
     readonly pool: string;
@@ -19,7 +19,7 @@
 export interface WorkerDecoder {
     readonly prefix: string;
     /** Returns `undefined` if the text describes no usable worker. */
-    decode(key: string, text: string): WorkerEntry | undefined;
+    decode(key: string, text: string): WorkerRegistration | undefined;
     /** Returns the worker's id, also if its registration can't be decoded. */
     idOf(key: string): string;
 }
--- a/src/store/createFollower.ts
+++ b/src/store/createPrefixWatcher.ts
@@ -1,7 +1,7 @@
 import { pause } from "../clock";
 import type { Store, StoreItem } from "./store";
 
-export interface FollowerOptions {
+export interface PrefixWatcherOptions {
     readonly store: Store;
     readonly prefix: string;
     /** Long-poll duration of one watch, in milliseconds. It bounds the age of the view while the store answers. */
@@ -15,15 +15,15 @@
     /** Called after `onItem` has received all changes of one answer. */
     onBatch?(): void;
     /** Called when the store stops answering, once until it answers again. */
-    onLost?(detail: string): void;
+    onStoreLost?(detail: string): void;
     /** Called at the first answer after `onStoreLost`. */
-    onRegained?(): void;
+    onStoreRecovered?(): void;
     /** False if the caller stores what it needs from `onItem`: the view then keeps key revisions and empty texts. */
-    readonly isItemKept?: boolean;
+    readonly keepsText?: boolean;
 }
 
 /** Keeps a local view of all keys under a prefix up to date. */
-export interface Follower {
+export interface PrefixWatcher {
     readonly items: ReadonlyMap<string, StoreItem>;
     /**
      * The view contains every write made before this time, in milliseconds of `nowMs`; `undefined` before the first
@@ -42,7 +42,7 @@
  * compacted, or the store was unavailable for long), the whole prefix is read and compared with the view. The
  * comparison also finds keys that were deleted in between.
  */
-export function createFollower(opts: FollowerOptions): Follower {
+export function createPrefixWatcher(opts: PrefixWatcherOptions): PrefixWatcher {
     const items = new Map<string, StoreItem>();
     let revision: number | undefined;
     let freshAtMs: number | undefined;
@@ -53,14 +53,14 @@
         freshAtMs = Math.max(freshAtMs ?? 0, sentAtMs);
         if (isLost) {
             isLost = false;
-            opts.onRegained?.();
+            opts.onStoreRecovered?.();
         }
     }
 
     async function recordLoss(detail: string): Promise<void> {
         if (!isLost) {
             isLost = true;
-            opts.onLost?.(detail);
+            opts.onStoreLost?.(detail);
         }
         await pause(retryMs);
     }
@@ -70,7 +70,7 @@
             items.delete(key);
         }
         else {
-            items.set(key, opts.isItemKept === false ? { ...item, text: "" } : item);
+            items.set(key, opts.keepsText === false ? { ...item, text: "" } : item);
         }
         opts.onItem(key, item);
     }
--- a/src/store/createRelayedStore.ts
+++ b/src/store/createRelayedStore.ts
@@ -41,7 +41,7 @@
 
 export interface RelayedStore extends Store {
     /** True if the store does not answer this entry directly, but answered it through a peer recently. */
-    isTurnedAway(): boolean;
+    isRelayOnly(): boolean;
 }
 
 /**
@@ -163,7 +163,7 @@
     }
 
     return {
-        isTurnedAway: () => isDirectDown && nowMs() - relayedAtMs < relayFreshMs,
+        isRelayOnly: () => isDirectDown && nowMs() - relayedAtMs < relayFreshMs,
         read: (key) => callAny({ call: "read", key }),
         range: (prefix) => callAny({ call: "range", prefix }),
         watch: (prefix, after, waitMs) => callAny({ call: "watch", prefix, after, waitMs }),
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,4 +1,4 @@
 /** Interface of the platform's store, relaying of store calls through other entries, and watched prefixes. */
-export { createFollower, type Follower } from "./createFollower";
+export { createPrefixWatcher, type PrefixWatcher } from "./createPrefixWatcher";
 export { createRelayedStore, type RelayedStore } from "./createRelayedStore";
 export * from "./store";
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -74,7 +74,7 @@
     | StoreUnavailable;
 
 /** Most conditions, puts and deletes in one commit, counted together (limit of the platform's store). */
-export const maxCommitEntries = 32;
+export const maxCommitOperations = 32;
 
 /** Client of the platform's store. Each call is billed as one call by the platform. */
 export interface Store {
--- a/src/store/test/store.steps.ts
+++ b/src/store/test/store.steps.ts
@@ -3,12 +3,12 @@
 import { type Clock, installClock } from "../../../standins/dispatch";
 import { createFakeNetwork } from "../../../standins/fakes";
 import { createFakeStore, type FakeStore, type StoreFault } from "../../../standins/scheduling";
-import { createFollower, createRelayedStore, type Follower, type RelayedStore } from "../index";
+import { createPrefixWatcher, createRelayedStore, type PrefixWatcher, type RelayedStore } from "../index";
 
 interface World {
     clock: Clock;
     store: FakeStore;
-    watcher: Follower | undefined;
+    watcher: PrefixWatcher | undefined;
     lost: number;
     regained: number;
     entries: Map<string, RelayedStore>;
@@ -29,15 +29,15 @@
 });
 
 Given("a watcher of prefix {string}", function(this: World, prefix: string) {
-    this.watcher = createFollower({
+    this.watcher = createPrefixWatcher({
         store: this.store.connect("entry-1"),
         prefix,
         waitMs: 1000,
         pauseMs: 0,
         nowMs: () => performance.now(),
         onItem() {},
-        onLost: () => this.lost++,
-        onRegained: () => this.regained++,
+        onStoreLost: () => this.lost++,
+        onStoreRecovered: () => this.regained++,
     });
     this.watcher.start();
 });
@@ -152,11 +152,11 @@
 });
 
 Then("{string} is relay-only", function(this: World, name: string) {
-    assert.equal(findEntry(this, name).isTurnedAway(), true);
+    assert.equal(findEntry(this, name).isRelayOnly(), true);
 });
 
 Then("{string} is not relay-only", function(this: World, name: string) {
-    assert.equal(findEntry(this, name).isTurnedAway(), false);
+    assert.equal(findEntry(this, name).isRelayOnly(), false);
 });
 
 Then(
--- a/src/submissions/createRecordWriter.ts
+++ b/src/submissions/createRecordWriter.ts
@@ -1,6 +1,6 @@
 import { pause } from "../clock";
 import type { CommitResult, Store, StoreItem } from "../store";
-import { maxCommitEntries } from "../store";
+import { maxCommitOperations } from "../store";
 
 /** A conditional write: `key` has to be at `revision`, where 0 means that it must not exist. */
 export interface RecordWrite {
@@ -37,7 +37,7 @@
 }
 
 /** Each write takes two operations of a commit, a condition and a put. */
-const writesPerCommit = maxCommitEntries / 2;
+const writesPerCommit = maxCommitOperations / 2;
 
 /** Pause before writes whose call failed are sent again, in milliseconds. */
 const retryMs = 100;
--- a/src/submissions/createDoor.ts
+++ b/src/submissions/createSubmissionApi.ts
@@ -1,27 +1,27 @@
 import { pause } from "../clock";
 import type { Reporter } from "../logging";
-import { findRoute, findTenant, type Policy, type Route } from "../policy";
+import { findQueue, findTenant, type Policy, type QueueConfig } from "../policy";
 import type { Store } from "../store";
-import { findFault } from "./checkSteps";
 import type { RecordWriter } from "./createRecordWriter";
+import { decodeRecord, encodeRecord, submissionKey, type SubmissionRecord } from "./record";
+import type { Submission, SubmissionRequest, SubmissionState } from "./submission";
 import type {
     AcceptResult,
     CancelResult,
     CountResult,
-    Door,
-    OwnerView,
+    LeaderQueries,
     PolicySource,
-    QueueCall,
     Refusal,
-} from "./door";
-import { decodeRecord, encodeRecord, submissionKey, type SubmissionRecord } from "./record";
-import type { Submission, SubmissionRequest, SubmissionState } from "./submission";
+    RequestContext,
+    SubmissionApi,
+} from "./submissionApi";
+import { validateSubmission } from "./validateSubmission";
 
-export interface DoorOptions {
+export interface SubmissionApiOptions {
     readonly policySource: PolicySource;
     readonly store: Store;
     readonly writer: RecordWriter;
-    readonly owner: OwnerView;
+    readonly leader: LeaderQueries;
     readonly report: Reporter;
     /** Reads the monotonic clock, in milliseconds. */
     readonly steadyMs: () => number;
@@ -54,8 +54,8 @@
 const countReuseMs = 500;
 
 /** Checks clients' requests, stores accepted submissions and cancellations, and reports the state of submissions. */
-export function createDoor(opts: DoorOptions): Door {
-    const { policySource, store, writer, owner, report, steadyMs } = opts;
+export function createSubmissionApi(opts: SubmissionApiOptions): SubmissionApi {
+    const { policySource, store, writer, leader: leaderQueries, report, steadyMs } = opts;
     const counts = new Map<string, { readonly count: number; readonly readAtMs: number; }>();
 
     /**
@@ -64,7 +64,9 @@
      * Without an answer of the store for `revokeMs`, a key may have been withdrawn without this entry knowing, and the entry
      * would accept work under it. It answers "unavailable" instead of rejecting the key, which may still be valid.
      */
-    function authorize(call: QueueCall): { policy: Policy; route: Route; tenant: string | undefined; } | Refusal {
+    function authorize(
+        call: RequestContext,
+    ): { policy: Policy; route: QueueConfig; tenant: string | undefined; } | Refusal {
         const [policy, ageMs] = [policySource.policy(), policySource.ageMs()];
         if (policy === undefined || ageMs === undefined) {
             return {
@@ -73,7 +75,7 @@
                 retryAfterMs: storeRetryAfterMs,
             };
         }
-        const route = findRoute(policy, call.host, call.path);
+        const route = findQueue(policy, call.host, call.path);
         if (route === undefined) {
             return { kind: "noRoute" };
         }
@@ -88,11 +90,11 @@
         return tenant === undefined ? { kind: "badKey" } : { policy, route, tenant: tenant.name };
     }
 
-    function deadlineOf(call: QueueCall, route: Route | undefined): number {
+    function deadlineOf(call: RequestContext, route: QueueConfig | undefined): number {
         return steadyMs() + (call.timeoutMs ?? route?.timeoutMs ?? defaultTimeoutMs) - answerMarginMs;
     }
 
-    async function storeSubmission(call: QueueCall, route: Route, submission: Submission) {
+    async function storeSubmission(call: RequestContext, route: QueueConfig, submission: Submission) {
         const text = encodeRecord({ kind: "open", submission, isCancelled: false });
         const write = { key: submissionKey(submission.id), revision: 0, text };
         const outcome = await writer.write(write, deadlineOf(call, route));
@@ -113,7 +115,7 @@
     }
 
     /** Reads the record of a submission, with retries until the client's timeout. */
-    async function readRecord(call: QueueCall, id: string) {
+    async function readRecord(call: RequestContext, id: string) {
         const deadlineMs = deadlineOf(call, undefined);
         for (;;) {
             const result = await store.read(submissionKey(id));
@@ -135,7 +137,7 @@
         }
     }
 
-    async function writeCancel(call: QueueCall, id: string): Promise<CancelResult> {
+    async function writeCancel(call: RequestContext, id: string): Promise<CancelResult> {
         const read = await readRecord(call, id);
         if (read.kind !== "record") {
             return read;
@@ -160,7 +162,7 @@
     }
 
     function logRequest<R extends { kind: string; detail?: string; }>(
-        call: QueueCall,
+        call: RequestContext,
         action: string,
         id: string,
         result: R,
@@ -184,7 +186,7 @@
             if ("kind" in authorized) {
                 return logRequest(call, "accept", request.id, authorized);
             }
-            const problem = findFault(request);
+            const problem = validateSubmission(request);
             if (problem !== undefined) {
                 return logRequest<AcceptResult>(call, "accept", request.id, { kind: "invalid", detail: problem });
             }
@@ -205,7 +207,7 @@
             if ("kind" in authorized) {
                 return logRequest(call, "state", id, authorized);
             }
-            const leaderState = await owner.findState(id);
+            const leaderState = await leaderQueries.findState(id);
             if (leaderState !== undefined) {
                 return { kind: "state", state: leaderState };
             }
@@ -228,7 +230,7 @@
             if (cached !== undefined && steadyMs() - cached.readAtMs < countReuseMs) {
                 return { kind: "count", pendingSubmissions: cached.count };
             }
-            const pendingSubmissions = await owner.countPending(name);
+            const pendingSubmissions = await leaderQueries.countPending(name);
             if (pendingSubmissions === undefined) {
                 // A count from the store would need a read of all submissions. If every entry does that while there is no
                 // leader, the network links of small instances are saturated for seconds: leases are renewed too late, and
@@ -250,7 +252,7 @@
 
 function toSubmission(
     request: SubmissionRequest,
-    { route, tenant }: { route: Route; tenant: string | undefined; },
+    { route, tenant }: { route: QueueConfig; tenant: string | undefined; },
 ): Submission {
     return { ...request, tenant, route: route.name, service: route.service, acceptedAtMs: Date.now() };
 }
--- a/src/submissions/index.ts
+++ b/src/submissions/index.ts
@@ -1,7 +1,6 @@
 /** Submissions: their types, their records in the store, and the API for clients' requests about them. */
-export { createDoor } from "./createDoor";
 export { createRecordWriter, type RecordWriter } from "./createRecordWriter";
-export type { AcceptResult, CancelResult, CountResult, Door, OwnerView, QueueCall, Refusal, StateResult } from "./door";
+export { createSubmissionApi } from "./createSubmissionApi";
 export { decodeRecord, encodeRecord, submissionKey, submissionPrefix, type SubmissionRecord } from "./record";
 export {
     type FinalState,
@@ -11,3 +10,13 @@
     type SubmissionRequest,
     SubmissionState,
 } from "./submission";
+export type {
+    AcceptResult,
+    CancelResult,
+    CountResult,
+    LeaderQueries,
+    Refusal,
+    RequestContext,
+    StateResult,
+    SubmissionApi,
+} from "./submissionApi";
--- a/src/submissions/door.ts
+++ b/src/submissions/submissionApi.ts
@@ -2,7 +2,7 @@
 import type { SubmissionRequest, SubmissionState } from "./submission";
 
 /** What every client request to a queue carries, apart from its body. */
-export interface QueueCall {
+export interface RequestContext {
     /** Identifies the request in log lines. */
     readonly requestId: string;
     readonly host: string;
@@ -40,7 +40,7 @@
 export type CountResult = { readonly kind: "count"; readonly pendingSubmissions: number; } | Refusal;
 
 /** Questions to the leader of the scheduling; each answer is `undefined` where the leader can't be reached. */
-export interface OwnerView {
+export interface LeaderQueries {
     /** `undefined` also where the leader doesn't know the submission. */
     findState(id: string): Promise<SubmissionState | undefined>;
     /** Number of pending submissions of a queue. */
@@ -57,13 +57,13 @@
 }
 
 /** Handles clients' requests about submissions. */
-export interface Door {
+export interface SubmissionApi {
     /** Stores a submission; "accepted" is only answered once it is stored. */
-    accept(call: QueueCall, request: SubmissionRequest): Promise<AcceptResult>;
+    accept(call: RequestContext, request: SubmissionRequest): Promise<AcceptResult>;
     /** Reads the state of a submission. */
-    state(call: QueueCall, id: string): Promise<StateResult>;
+    state(call: RequestContext, id: string): Promise<StateResult>;
     /** Stores the cancellation of a submission. */
-    cancel(call: QueueCall, id: string): Promise<CancelResult>;
+    cancel(call: RequestContext, id: string): Promise<CancelResult>;
     /** Counts the pending submissions of a queue. */
-    count(call: QueueCall): Promise<CountResult>;
+    count(call: RequestContext): Promise<CountResult>;
 }
--- a/src/submissions/test/submissions.steps.ts
+++ b/src/submissions/test/submissions.steps.ts
@@ -3,12 +3,19 @@
 import { type Clock, installClock } from "../../../standins/dispatch";
 import { createFakeStore, type FakeStore, plainPolicy, plainStep, type StoreFault } from "../../../standins/scheduling";
 import type { Policy } from "../../policy";
-import { createDoor, createRecordWriter, decodeRecord, type Door, type Step, submissionKey } from "../index";
+import {
+    createRecordWriter,
+    createSubmissionApi,
+    decodeRecord,
+    type Step,
+    type SubmissionApi,
+    submissionKey,
+} from "../index";
 
 interface World {
     clock: Clock;
     store: FakeStore;
-    door: Door;
+    door: SubmissionApi;
     policy: Policy | undefined;
     ageMs: number | undefined;
     isStoreLost: boolean;
@@ -28,11 +35,11 @@
     this.answers = [];
     const store = this.store.connect("entry-1");
     const steadyMs = () => performance.now();
-    this.door = createDoor({
+    this.door = createSubmissionApi({
         policySource: { policy: () => this.policy, ageMs: () => this.ageMs, isStoreLost: () => this.isStoreLost },
         store,
         writer: createRecordWriter(store, steadyMs),
-        owner: { findState: () => Promise.resolve(undefined), countPending: () => Promise.resolve(undefined) },
+        leader: { findState: () => Promise.resolve(undefined), countPending: () => Promise.resolve(undefined) },
         report() {},
         steadyMs,
         revokeMs: 5000,
--- a/src/submissions/checkSteps.ts
+++ b/src/submissions/validateSubmission.ts
@@ -4,7 +4,7 @@
 const maxPayloadBytes = 4000;
 
 /** Describes what is invalid in a request; `undefined` where it is valid. */
-export function findFault({ payload, steps, schedule }: SubmissionRequest): string | undefined {
+export function validateSubmission({ payload, steps, schedule }: SubmissionRequest): string | undefined {
     if (Buffer.byteLength(payload) > maxPayloadBytes) {
         return `the payload exceeds ${maxPayloadBytes} bytes`;
     }
--- a/standins/fleet/createFleetModel.ts
+++ b/standins/fleet/createFleetModel.ts
@@ -2,7 +2,7 @@
 import { type Configuration, createConfiguration } from "../../src/configuration";
 import { createExecutor, type ExecutorTiming } from "../../src/executor";
 import { createPlan, intentSchema } from "../../src/plans";
-import { createWatcher } from "../../src/platform";
+import { createKeyWatcher } from "../../src/platform";
 import type { Command, FleetState } from "../../src/state";
 import type { Workers } from "../../src/workers";
 import { createFakeNetwork, createFakePlatform, createFakeWorkers } from "../fakes";
@@ -52,7 +52,7 @@
     function connectConfiguration(client: string, gate?: Gate): Configuration {
         const connected = platform.connect(client);
         const gated = gate?.wrapPlatform(connected) ?? connected;
-        const watcher = createWatcher({
+        const watcher = createKeyWatcher({
             platform: gated,
             watchMs,
             retryMs: gate === undefined ? judgeRetryMs : retryMs,
--- a/standins/schedules/plantDefect.ts
+++ b/standins/schedules/plantDefect.ts
@@ -1,4 +1,4 @@
-import type { TaskWorkers } from "../../src/runs";
+import type { WorkerApi } from "../../src/runs";
 
 /** A defect that the search has to find, planted between the scheduler and the workers. */
 export type Defect =
@@ -11,18 +11,18 @@
     /** No entry hears of evacuations. */
     | "evacuationsUnheard";
 
-export function plantDefect(api: TaskWorkers, defect: Defect): TaskWorkers {
+export function plantDefect(api: WorkerApi, defect: Defect): WorkerApi {
     switch (defect) {
         case "silenceEndsLife":
             return {
                 ...api,
-                async look(worker, order) {
-                    const result = await api.look(worker, order);
+                async poll(worker, order) {
+                    const result = await api.poll(worker, order);
                     return result.kind === "noAnswer" ? { kind: "otherLife" } : result;
                 },
             };
         case "endsAckedAtOnce":
-            return { ...api, look: (worker, order) => lookAndAcknowledge(api, worker, order) };
+            return { ...api, poll: (worker, order) => lookAndAcknowledge(api, worker, order) };
         case "evacuationsUnheard":
             // Planted in what entries hear of the operators' instructions.
             return api;
@@ -32,13 +32,13 @@
 }
 
 async function lookAndAcknowledge(
-    api: TaskWorkers,
-    ...[worker, order]: Parameters<TaskWorkers["look"]>
-): ReturnType<TaskWorkers["look"]> {
-    const result = await api.look(worker, order);
+    api: WorkerApi,
+    ...[worker, order]: Parameters<WorkerApi["poll"]>
+): ReturnType<WorkerApi["poll"]> {
+    const result = await api.poll(worker, order);
     if (result.kind === "listed" && result.ended.length > 0) {
         const ackedEnd = Math.max(...result.ended.map(({ number }) => number));
-        await api.look(worker, { ...order, ackedEnd, waitMs: 0 });
+        await api.poll(worker, { ...order, ackedEnd, waitMs: 0 });
     }
     return result;
 }
--- a/standins/scheduling/createFakeTaskWorkers.ts
+++ b/standins/scheduling/createFakeTaskWorkers.ts
@@ -1,13 +1,13 @@
 import { pause } from "../../src/clock";
 import type {
     EndKind,
-    EndRow,
-    LookOrder,
-    LookResult,
-    OrderResult,
-    StartOrder,
+    ListedEnd,
+    PollRequest,
+    PollResult,
+    RequestResult,
+    StartRequest,
     StartResult,
-    TaskWorkers,
+    WorkerApi,
     WorkerTarget,
 } from "../../src/runs";
 
@@ -66,7 +66,7 @@
 }
 
 export interface FakeTaskWorkers {
-    readonly api: TaskWorkers;
+    readonly api: WorkerApi;
     readonly events: readonly WorkerEvent[];
     add(id: string): FakeTaskWorker;
     get(id: string): FakeTaskWorker;
@@ -94,7 +94,7 @@
     leaseUntilMs: number;
     runs: Map<string, FakeRun>;
     stopped: Map<string, number>;
-    ends: EndRow[];
+    ends: ListedEnd[];
     ended: WorkerEvent[];
     /** Ends up to this number were not acknowledged before the lease lapsed. */
     lapsedEnd: number;
@@ -166,7 +166,7 @@
         worker.leaseUntilMs = Math.max(worker.leaseUntilMs, Math.min(leaseUntilMs ?? 0, mostMs));
     }
 
-    function start(worker: State, order: StartOrder): StartResult {
+    function start(worker: State, order: StartRequest): StartResult {
         // What has ended by now, here or elsewhere, is noted before this start.
         workers.forEach(advance);
         const workerMs = worker.clockMs();
@@ -192,7 +192,7 @@
         return { kind: "started", workerMs };
     }
 
-    function stop(worker: State, task: string, number: number, token: number): OrderResult {
+    function stop(worker: State, task: string, number: number, token: number): RequestResult {
         if (token < worker.token) {
             return { kind: "fenced" };
         }
@@ -207,7 +207,7 @@
         return { kind: "taken", workerMs: worker.clockMs() };
     }
 
-    async function look(worker: State, order: LookOrder): Promise<LookResult> {
+    async function look(worker: State, order: PollRequest): Promise<PollResult> {
         const endsAtMs = performance.now() + order.waitMs;
         if (order.token < worker.token) {
             return { kind: "fenced" };
@@ -300,15 +300,15 @@
                 await pause(clientTimeoutMs);
                 return { kind: "noAnswer", detail: "no answer in time" };
             },
-            stop: (target, task, run, token) => call<OrderResult>(target, (worker) => stop(worker, task, run, token)),
-            async look(target, order) {
+            stop: (target, task, run, token) => call<RequestResult>(target, (worker) => stop(worker, task, run, token)),
+            async poll(target, order) {
                 if (workers.get(target.id)?.fault === "lostLooks") {
                     await pause(clientTimeoutMs);
                     return { kind: "noAnswer", detail: "no answer in time" };
                 }
-                return call<LookResult>(target, (worker) => look(worker, order));
+                return call<PollResult>(target, (worker) => look(worker, order));
             },
-            pace: (target) => call<OrderResult>(target, (worker) => ({ kind: "taken", workerMs: worker.clockMs() })),
+            pace: (target) => call<RequestResult>(target, (worker) => ({ kind: "taken", workerMs: worker.clockMs() })),
         },
         add(id) {
             const bornAtMs = performance.now();
--- a/standins/scheduling/createSchedulingWorld.ts
+++ b/standins/scheduling/createSchedulingWorld.ts
@@ -1,11 +1,11 @@
 import type { AdviceResult } from "../../src/advice";
-import { createDuty, dutyKey } from "../../src/duties";
+import { createLeaderElection, leaderKey } from "../../src/duties";
 import type { LogEvent } from "../../src/logging";
-import type { Machine, MachineOrderResult, Machines } from "../../src/machines";
+import type { Machine, MachineApi, MachineOrderResult } from "../../src/machines";
 import type { Policy, Wave } from "../../src/policy";
-import { createRelayedWorkers, type TaskWorkers } from "../../src/runs";
-import { createScheduler, type Scheduler, type WorkerDecoder, type WorkerEntry } from "../../src/scheduler";
-import { createFollower, type Store } from "../../src/store";
+import { createRelayedWorkerApi, type WorkerApi } from "../../src/runs";
+import { createScheduler, type Scheduler, type WorkerDecoder, type WorkerRegistration } from "../../src/scheduler";
+import { createPrefixWatcher, type Store } from "../../src/store";
 import { encodeRecord, type Step, submissionKey } from "../../src/submissions";
 import { createFakeNetwork, type FakeNetwork } from "../fakes";
 import { createCallGate } from "./createCallGate";
@@ -34,11 +34,11 @@
 
 export interface SchedulingWorldOptions {
     /** How workers write of themselves to the store; as the scenarios' decoder reads it where left out. */
-    readonly entryOf?: (entry: WorkerEntry) => { readonly key: string; readonly text: string; };
+    readonly entryOf?: (entry: WorkerRegistration) => { readonly key: string; readonly text: string; };
     /** Where calls to a worker go; its id where left out. */
     readonly addressOf?: (id: string) => string;
     /** What entries call in place of the workers. */
-    readonly workerApiOf?: (api: TaskWorkers) => TaskWorkers;
+    readonly workerApiOf?: (api: WorkerApi) => WorkerApi;
 }
 
 export interface SchedulingWorld {
@@ -47,7 +47,7 @@
     /** Whether entries have their peers call the workers. */
     areBusy: boolean;
     /** The platform's interface for machines. */
-    readonly machines: Machines;
+    readonly machines: MachineApi;
     readonly store: FakeStore;
     readonly workers: FakeTaskWorkers;
     /** Most machines that were away at once by order. */
@@ -106,7 +106,7 @@
 const decoder: WorkerDecoder = {
     prefix: workerPrefix,
     idOf: (key) => key.slice(workerPrefix.length),
-    decode: (_key, text) => JSON.parse(text) as WorkerEntry,
+    decode: (_key, text) => JSON.parse(text) as WorkerRegistration,
 };
 
 /** Entries that schedule over a store, workers and machines in memory. */
@@ -126,7 +126,7 @@
     let machineList: readonly Machine[] = [];
     let listLagMs = 0;
     const listHistory: { readonly atMs: number; readonly machines: readonly Machine[]; }[] = [];
-    const machines: Machines = {
+    const machines: MachineApi = {
         list: () => Promise.resolve({ kind: "machines", machines: listAsOf(performance.now() - listLagMs) }),
         move: (machine, pool) => callOrder(`move ${machine} ${pool}`),
         maintain: (machine, wave) => callOrder(`maintain ${machine} ${wave}`),
@@ -190,7 +190,7 @@
         setTimeout(() => {
             away.delete(machine.id);
             maintained.delete(machine.id);
-            if (world.policy.services.get(pool)?.isStandby === true) {
+            if (world.policy.pools.get(pool)?.isStandby === true) {
                 replace({ state: "up", pool });
                 return;
             }
@@ -287,8 +287,8 @@
 function createEntry(
     name: string,
     world: SchedulingWorld,
-    machines: Machines,
-    directApi: TaskWorkers,
+    machines: MachineApi,
+    directApi: WorkerApi,
 ): SchedulingEntry {
     const gate = createCallGate();
     const store = gate.wrap(world.store.connect(name));
@@ -298,13 +298,13 @@
     let isKilled = false;
     let isFit = true;
     const peer = { boot: name, instance: name, region: "north", zone: "zone-a", peerUrl: `ws://${name}` };
-    const workerApi = createRelayedWorkers({
+    const workerApi = createRelayedWorkerApi({
         direct: gate.wrap(directApi),
         peers: world.network.connect(peer),
         isBusy: () => world.areBusy,
         nowMs: clocks.steadyMs,
     });
-    const duty = createDuty({
+    const duty = createLeaderElection({
         store,
         clocks,
         holder: { boot: name, instance: name },
@@ -336,7 +336,7 @@
                 evacuatedZones: () => world.areEvacuationsHeard ? world.evacuatedZones : new Set(),
                 isPolicyFresh: () => world.isPolicyFresh,
                 reportWave: () => Promise.resolve(true),
-                onFenced: () => duty.noteRefused(),
+                onFenced: () => duty.onFenced(),
             });
             void scheduler.start();
         },
@@ -345,14 +345,14 @@
             scheduler = undefined;
         },
     });
-    const follower = createFollower({
+    const follower = createPrefixWatcher({
         store,
-        prefix: dutyKey,
+        prefix: leaderKey,
         waitMs: 2000,
         pauseMs: 0,
         nowMs: clocks.steadyMs,
         onItem() {},
-        onBatch: () => duty.noteHolder(follower.items.get(dutyKey)),
+        onBatch: () => duty.updateLeader(follower.items.get(leaderKey)),
     });
     follower.start();
     duty.start();
@@ -374,7 +374,7 @@
         },
         stop() {
             isKilled = true;
-            void duty.handOver();
+            void duty.resign();
         },
         kill() {
             isKilled = true;
--- a/standins/scheduling/plainPolicy.ts
+++ b/standins/scheduling/plainPolicy.ts
@@ -37,8 +37,8 @@
 
 export const plainPolicy: Policy = {
     version: 1,
-    routes: [plainRoute],
-    services: new Map([["stalls", { name: "stalls", rejectsOverload: false, isStandby: false, maxConnections: 64 }]]),
+    queues: [plainRoute],
+    pools: new Map([["stalls", { name: "stalls", rejectsOverload: false, isStandby: false, maxConnections: 64 }]]),
     tenants: [{ name: "giza", keys: ["key-1"], weight: 1, cap: { cpuMillis: 0, memoryMb: 0, accelerators: 0 } }],
     limits: { maxHeaderBytes: 16_384, maxBodyBytes: 262_144, headerTimeoutMs: 3000, idleTimeoutMs: 15_000 },
 };
--- a/standins/usersPlatform/encodeEntries.ts
+++ b/standins/usersPlatform/encodeEntries.ts
@@ -1,5 +1,5 @@
 import type { Policy } from "../../src/policy";
-import type { WorkerEntry } from "../../src/scheduler";
+import type { WorkerRegistration } from "../../src/scheduler";
 import type { Step } from "../../src/submissions";
 
 interface KeyAndText {
@@ -8,7 +8,7 @@
 }
 
 /** What a worker writes of itself to the store. */
-export function encodeWorkerEntry(entry: WorkerEntry): KeyAndText {
+export function encodeWorkerEntry(entry: WorkerRegistration): KeyAndText {
     const { cpuMillis, memoryMb, accelerators } = entry.capacity;
     const row = {
         service: entry.pool,
@@ -27,7 +27,7 @@
 export function encodePolicy(policy: Policy): KeyAndText {
     const row = {
         version: policy.version,
-        routes: policy.routes.map((route) => ({
+        routes: policy.queues.map((route) => ({
             name: route.name,
             host: route.host,
             prefix: route.pathPrefix,
@@ -39,7 +39,7 @@
             targetLatencyMs: route.targetLatencyMs,
             timeoutMs: route.timeoutMs,
         })),
-        services: [...policy.services.values()].map(({ name, rejectsOverload, isStandby }) => ({
+        services: [...policy.pools.values()].map(({ name, rejectsOverload, isStandby }) => ({
             name,
             rejectsOverload,
             standby: isStandby,
--- a/standins/usersPlatform/serveMachines.ts
+++ b/standins/usersPlatform/serveMachines.ts
@@ -1,14 +1,14 @@
-import type { Machine, MachineOrderer, MachineOrderResult, Machines } from "../../src/machines";
+import type { Machine, MachineApi, MachineOrderer, MachineOrderResult } from "../../src/machines";
 import { type JsonReply, type JsonRequest, type JsonServer, serveJson } from "./serveJson";
 
 const states = { up: "up", moving: "moving", maintenance: "upkeep", down: "down" } as const;
 
 /** Serves the interface for machines by the protocol of the users' platform. */
-export function serveMachines(machines: Machines): Promise<JsonServer> {
+export function serveMachines(machines: MachineApi): Promise<JsonServer> {
     return serveJson((request) => answer(machines, request));
 }
 
-async function answer(machines: Machines, { method, path, headers, body }: JsonRequest): Promise<JsonReply> {
+async function answer(machines: MachineApi, { method, path, headers, body }: JsonRequest): Promise<JsonReply> {
     const machine = String(body["machine"]);
     const orderer: MachineOrderer = {
         holder: String(headers["x-lease-holder"]),
--- a/standins/usersPlatform/serveWorkers.ts
+++ b/standins/usersPlatform/serveWorkers.ts
@@ -1,4 +1,4 @@
-import type { EndRow, LookResult, OrderResult, RunningRow, StartResult, TaskWorkers } from "../../src/runs";
+import type { ListedEnd, ListedRun, PollResult, RequestResult, StartResult, WorkerApi } from "../../src/runs";
 import { type JsonReply, type JsonRequest, type JsonServer, serveJson } from "./serveJson";
 
 const refusals = {
@@ -11,11 +11,11 @@
 } as const;
 
 /** Serves one worker's interface by the protocol of the users' platform. */
-export function serveWorker(api: TaskWorkers, id: string): Promise<JsonServer> {
+export function serveWorker(api: WorkerApi, id: string): Promise<JsonServer> {
     return serveJson((request) => answer(api, id, request));
 }
 
-async function answer(api: TaskWorkers, id: string, { method, path, headers, body }: JsonRequest): Promise<JsonReply> {
+async function answer(api: WorkerApi, id: string, { method, path, headers, body }: JsonRequest): Promise<JsonReply> {
     if (headers["x-target-instance"] !== id) {
         return { status: 421 };
     }
@@ -45,7 +45,7 @@
                 leaseUntilMs: body["untilMs"] === undefined ? undefined : Number(body["untilMs"]),
                 waitMs: Number(body["waitMs"] ?? 0),
             };
-            return toLookReply(await api.look(target, order));
+            return toLookReply(await api.poll(target, order));
         }
         default:
             return { status: 404 };
@@ -70,13 +70,13 @@
     }
 }
 
-function toOrderReply(result: OrderResult): JsonReply {
+function toOrderReply(result: RequestResult): JsonReply {
     return result.kind === "taken"
         ? { status: 200, body: { clockMs: Math.floor(result.workerMs) } }
         : toFailure(result.kind);
 }
 
-function toLookReply(result: LookResult): JsonReply {
+function toLookReply(result: PollResult): JsonReply {
     if (result.kind !== "listed") {
         return toFailure(result.kind);
     }
@@ -91,11 +91,11 @@
     };
 }
 
-function toRunningRow({ task, run, checkpoint, percent, measure }: RunningRow) {
+function toRunningRow({ task, run, checkpoint, percent, measure }: ListedRun) {
     return [task, run, checkpoint, percent, measure];
 }
 
-function toEndRow({ number, task, run, how, checkpoint }: EndRow) {
+function toEndRow({ number, task, run, how, checkpoint }: ListedEnd) {
     return [number, task, run, how, checkpoint];
 }
 
--- a/test/scheduling/machines.steps.ts
+++ b/test/scheduling/machines.steps.ts
@@ -17,9 +17,9 @@
 }
 
 export function addStandby(world: World): void {
-    const services = new Map(plainPolicy.services);
+    const services = new Map(plainPolicy.pools);
     services.set("spare", { name: "spare", rejectsOverload: false, isStandby: true, maxConnections: 64 });
-    world.world.policy = { ...plainPolicy, services };
+    world.world.policy = { ...plainPolicy, pools: services };
 }
 
 /** The machines of all workers, each in its worker's zone. */
--- a/test/scheduling/scheduling.steps.ts
+++ b/test/scheduling/scheduling.steps.ts
@@ -253,7 +253,7 @@
 });
 
 When("the queue is removed", function(this: World) {
-    this.world.policy = { ...this.world.policy, version: 2, routes: [] };
+    this.world.policy = { ...this.world.policy, version: 2, queues: [] };
 });
 
 When("a progress record of the submission is written late", function(this: World) {
