--- a/bench/model/simulateFleet.ts
+++ b/bench/model/simulateFleet.ts
@@ -68,7 +68,7 @@
     const machines = createMachines(fleet);
     let nowMs = 0;
     const consolidator = createConsolidator({
-        board: state,
+        state,
         clocks: { steadyMs: () => nowMs, suspendAwareMs: () => nowMs },
         maxStopMs,
         stop(run) {
@@ -155,7 +155,7 @@
 
     function decide(nowMs: number): void {
         const pools = measureDemand({
-            board: state,
+            state,
             policy,
             estimates,
             meter,
--- a/src/advice/test/advice.steps.ts
+++ b/src/advice/test/advice.steps.ts
@@ -5,7 +5,7 @@
 
 interface World {
     clock: Clock;
-    advisor: PermitCache;
+    permitCache: PermitCache;
     requestCount: number;
     inFlight: number;
     maxInFlight: number;
@@ -19,7 +19,7 @@
         this.maxInFlight =
         this.busyAnswersLeft =
             0;
-    this.advisor = createPermitCache({
+    this.permitCache = createPermitCache({
         steadyMs: () => performance.now(),
         report() {},
         onChange() {},
@@ -49,14 +49,14 @@
 
 When("step {string} is planned {int} times", async function(this: World, step: string, times: number) {
     for (let at = 0; at < times; at++) {
-        this.advisor.allowedWorkers(step, ["worker-1", "worker-2"]);
+        this.permitCache.allowedWorkers(step, ["worker-1", "worker-2"]);
         await this.clock.advance(10);
     }
 });
 
 When("{int} steps are planned at once", async function(this: World, count: number) {
     for (let at = 0; at < count; at++) {
-        this.advisor.allowedWorkers(`step-${at}`, ["worker-1"]);
+        this.permitCache.allowedWorkers(`step-${at}`, ["worker-1"]);
     }
     await this.clock.advance(300);
 });
@@ -75,10 +75,10 @@
 });
 
 Then("{string} may run step {string}", function(this: World, worker: string, step: string) {
-    assert.ok(this.advisor.allowedWorkers(step, [worker])?.has(worker));
-    assert.equal(this.advisor.ticket(step, worker), `t ${worker}`);
+    assert.ok(this.permitCache.allowedWorkers(step, [worker])?.has(worker));
+    assert.equal(this.permitCache.ticket(step, worker), `t ${worker}`);
 });
 
 Then("{string} has no ticket for step {string}", function(this: World, worker: string, step: string) {
-    assert.equal(this.advisor.ticket(step, worker), undefined);
+    assert.equal(this.permitCache.ticket(step, worker), undefined);
 });
--- a/src/daemon/createDaemon.ts
+++ b/src/daemon/createDaemon.ts
@@ -146,7 +146,7 @@
         store,
         clocks,
         self: { ...self, strength: computeStrength(settings.cores, settings.linkMbps) },
-        duty,
+        election: duty,
         onPeers(others) {
             const links = chooseLinks({ self: boot, others, leader: presence.leaderBoot() });
             peers.setAddresses(links.map(({ peerUrl }) => peerUrl));
@@ -167,7 +167,7 @@
             bounds: {
                 maxLeaseMs: settings.maxRunLeaseMs,
                 keepFinishedMs: settings.keepFinishedMs,
-                machineTurnMs: settings.machineTurnMs,
+                minMachineHandoverMs: settings.machineTurnMs,
                 maintenanceMs: settings.maintenanceMs,
                 moveMs: settings.moveMs,
                 maxStopMs: settings.maxStopMs,
--- a/src/duties/createLeaderElection.ts
+++ b/src/duties/createLeaderElection.ts
@@ -46,7 +46,7 @@
     /** Takes the current item of the leader key; `undefined` if there is no leader. */
     updateLeader(item: StoreItem | undefined): void;
     /** Takes this entry's rank among those that are up. */
-    updateRanking(standing: Ranking): void;
+    updateRanking(ranking: Ranking): void;
     /** The tenure of this entry; `undefined` while it is not leader. */
     tenure(): Tenure | undefined;
     /** Gives leadership up for good and ends the lease, so that another entry need not wait for it to expire. */
@@ -306,9 +306,9 @@
             }
             scheduleCampaign(rank * rankDelayMs);
         },
-        updateRanking(standing) {
-            rank = standing.rank;
-            muchStronger = standing.strongerLeader;
+        updateRanking(ranking) {
+            rank = ranking.rank;
+            muchStronger = ranking.strongerLeader;
         },
         tenure: () => current?.tenure,
         async resign() {
--- a/src/duties/createPresence.ts
+++ b/src/duties/createPresence.ts
@@ -12,7 +12,7 @@
     readonly store: Store;
     readonly clocks: Clocks;
     readonly self: Candidate;
-    readonly duty: LeaderElection;
+    readonly election: LeaderElection;
     /** Called with the other entries that are up, according to the store. */
     onPeers(peers: readonly Peer[]): void;
 }
@@ -36,7 +36,7 @@
 
 /** Keeps this entry's record in the store, watches those of the others, and feeds both to the leader election. */
 export function createPresence(opts: PresenceOptions): Presence {
-    const { store, self, duty } = opts;
+    const { store, self, election } = opts;
     const peers = new Map<string, Candidate>();
     let leaderBoot: string | undefined;
     let lease: number | undefined;
@@ -54,7 +54,7 @@
         }
     }
 
-    const follower = createPrefixWatcher({
+    const watcher = createPrefixWatcher({
         store,
         prefix: livePrefix,
         waitMs: watchWaitMs,
@@ -64,8 +64,8 @@
         onBatch() {
             const others = [...peers.values()].filter(({ boot }) => boot !== self.boot);
             opts.onPeers(others);
-            duty.updateRanking(rankCandidates(self, others));
-            duty.updateLeader(follower.items.get(leaderKey));
+            election.updateRanking(rankCandidates(self, others));
+            election.updateLeader(watcher.items.get(leaderKey));
         },
     });
 
@@ -92,13 +92,13 @@
     return {
         leaderBoot: () => leaderBoot,
         start() {
-            follower.start();
+            watcher.start();
             void register();
             timer = setInterval(() => void register(), presenceRenewMs);
         },
         async stop() {
             clearInterval(timer);
-            follower.stop();
+            watcher.stop();
             if (lease !== undefined) {
                 await store.endLease(lease);
             }
--- a/src/duties/test/duties.steps.ts
+++ b/src/duties/test/duties.steps.ts
@@ -15,7 +15,7 @@
 
 interface Entry {
     readonly name: string;
-    readonly duty: LeaderElection;
+    readonly election: LeaderElection;
     isKilled: boolean;
     stop(): void;
 }
@@ -53,7 +53,7 @@
         steadyMs: () => performance.now(),
         suspendAwareMs: () => performance.now() + world.suspendedMs,
     };
-    const duty = createLeaderElection({
+    const election = createLeaderElection({
         store,
         clocks,
         holder: { boot: name, instance: name },
@@ -65,39 +65,39 @@
         },
         onLost() {},
     });
-    const follower = createPrefixWatcher({
+    const watcher = createPrefixWatcher({
         store,
         prefix: leaderKey,
         waitMs: 1000,
         pauseMs: 0,
         nowMs: clocks.steadyMs,
         onItem() {},
-        onBatch: () => duty.updateLeader(follower.items.get(leaderKey)),
+        onBatch: () => election.updateLeader(watcher.items.get(leaderKey)),
     });
-    duty.updateRanking({ rank, strongerLeader: undefined });
-    follower.start();
-    duty.start();
+    election.updateRanking({ rank, strongerLeader: undefined });
+    watcher.start();
+    election.start();
     const entry: Entry = {
         name,
-        duty,
+        election,
         isKilled: false,
         stop() {
             entry.isKilled = true;
-            duty.stop();
-            follower.stop();
+            election.stop();
+            watcher.stop();
         },
     };
     world.entries.push(entry);
 }
 
 function leaders(world: World): readonly Entry[] {
-    return world.entries.filter(({ duty, isKilled }) => !isKilled && duty.tenure()?.isValid() === true);
+    return world.entries.filter(({ election, isKilled }) => !isKilled && election.tenure()?.isValid() === true);
 }
 
 function leaderOf(world: World): Entry {
     const [leader] = leaders(world);
     assert.ok(leader);
-    world.tokenBefore = leader.duty.tenure()?.token ?? 0;
+    world.tokenBefore = leader.election.tenure()?.token ?? 0;
     return leader;
 }
 
@@ -131,7 +131,7 @@
 When("the leader resigns", function(this: World) {
     const leader = leaderOf(this);
     leader.isKilled = true;
-    void leader.duty.resign();
+    void leader.election.resign();
 });
 
 When("the store is {string} for the leader", function(this: World, fault: StoreFault) {
@@ -160,7 +160,7 @@
 });
 
 Then("its token is higher than before", function(this: World) {
-    assert.ok((leaders(this)[0]?.duty.tenure()?.token ?? 0) > this.tokenBefore);
+    assert.ok((leaders(this)[0]?.election.tenure()?.token ?? 0) > this.tokenBefore);
 });
 
 Then("at no time within {int} ms are two entries leader", async function(this: World, ms: number) {
@@ -172,26 +172,26 @@
 });
 
 When("the leader learns that the other one is far stronger", function(this: World) {
-    const leader = this.entries.find(({ duty }) => duty.tenure() !== undefined);
+    const leader = this.entries.find(({ election }) => election.tenure() !== undefined);
     const other = this.entries.find((entry) => entry !== leader);
     assert.ok(leader);
     this.formerLeader = leader.name;
-    this.formerToken = leader.duty.tenure()?.token ?? 0;
-    other?.duty.updateRanking({ rank: 0, strongerLeader: undefined });
-    leader.duty.updateRanking({ rank: 1, strongerLeader: other?.name ?? "somebody" });
+    this.formerToken = leader.election.tenure()?.token ?? 0;
+    other?.election.updateRanking({ rank: 0, strongerLeader: undefined });
+    leader.election.updateRanking({ rank: 1, strongerLeader: other?.name ?? "somebody" });
 });
 
 Then("the other one is leader", function(this: World) {
-    const leader = this.entries.find(({ duty }) => duty.tenure() !== undefined);
+    const leader = this.entries.find(({ election }) => election.tenure() !== undefined);
     assert.ok(leader !== undefined && leader.name !== this.formerLeader, leader?.name ?? "nobody");
 });
 
 Then("it stays leader for {int} ms", async function(this: World, ms: number) {
     const [leader] = this.entries;
-    const token = leader?.duty.tenure()?.token;
+    const token = leader?.election.tenure()?.token;
     assert.ok(token !== undefined && token > this.formerToken);
     await advance(this, ms);
-    assert.equal(leader?.duty.tenure()?.token, token);
+    assert.equal(leader?.election.tenure()?.token, token);
 });
 
 Given(
--- a/src/runs/applyEnd.ts
+++ b/src/runs/applyEnd.ts
@@ -16,7 +16,7 @@
 
 /** What applying the end of a run depends on. */
 export interface EndContext {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     /** Current configuration; `undefined` until one has been read. */
     readonly policy: Policy | undefined;
     readonly estimates: DurationEstimates;
@@ -33,13 +33,13 @@
 
 /** Applies the end of a run as listed by a worker; returns the entry of the submission that it changed, if any. */
 export function applyEnd(worker: Worker, end: ListedEnd, context: EndContext): SubmissionEntry | undefined {
-    const task = findTask(context.board, end.task);
+    const task = findTask(context.state, end.task);
     if (task === undefined) {
         return undefined;
     }
     const run = task.runs.find((known) => known.number === end.run && known.worker === worker);
     if (run !== undefined) {
-        removeRun(context.board, run, context.nowMs);
+        removeRun(context.state, run, context.nowMs);
     }
     if (end.checkpoint !== "" && task.phase === "waiting") {
         task.checkpoint = end.checkpoint;
--- a/src/runs/createRelayedWorkerApi.ts
+++ b/src/runs/createRelayedWorkerApi.ts
@@ -120,9 +120,10 @@
     }
 
     return {
-        start: ({ id, address }, order) => call<StartResult>({ call: "start", worker: { id, address }, order }),
-        poll: ({ id, address }, order) =>
-            call<PollResult>({ call: "look", worker: { id, address }, order }, order.waitMs),
+        start: ({ id, address }, request) =>
+            call<StartResult>({ call: "start", worker: { id, address }, order: request }),
+        poll: ({ id, address }, request) =>
+            call<PollResult>({ call: "look", worker: { id, address }, order: request }, request.waitMs),
         stop: ({ id, address }, task, run, token) =>
             call<RequestResult>({ call: "stop", worker: { id, address }, task, run, token }),
         pace: ({ id, address }, task, run, percent, token) =>
--- a/src/runs/createWorkerPolling.ts
+++ b/src/runs/createWorkerPolling.ts
@@ -19,7 +19,7 @@
     readonly api: WorkerApi;
     readonly tenure: Tenure;
     readonly clocks: Clocks;
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly report: Reporter;
     /** Longest lease that a worker allows, in milliseconds. */
     readonly maxLeaseMs: number;
@@ -45,7 +45,7 @@
 
 export interface WorkerPolling {
     /** Polls a worker while it has runs or does not answer, and until its list has been read once. */
-    follow(worker: Worker): void;
+    ensurePolling(worker: Worker): void;
     /** Polls a worker at once, in addition to a long poll that waits for an end. */
     pollNow(worker: Worker): void;
     stop(): void;
@@ -71,8 +71,8 @@
 
 /** Polls each worker in use in a loop of its own, to renew leases and to learn what runs and what has ended. */
 export function createWorkerPolling(opts: WorkerPollingOptions): WorkerPolling {
-    const { api, tenure, clocks, board } = opts;
-    const followed = new Set<Worker>();
+    const { api, tenure, clocks, state: schedulerState } = opts;
+    const polledWorkers = new Set<Worker>();
     const bounds: LeaseBounds = {
         leaseMs: Math.min(runLeaseMs, opts.maxLeaseMs),
         maxLeaseMs: opts.maxLeaseMs,
@@ -92,11 +92,11 @@
     }
 
     async function pollLoop(worker: Worker): Promise<void> {
-        while (!isStopped && tenure.isValid() && isNeeded(worker) && isCurrentIncarnation(board, worker)) {
+        while (!isStopped && tenure.isValid() && isNeeded(worker) && isCurrentIncarnation(schedulerState, worker)) {
             opts.sendStops(worker);
             await poll(worker, chooseWait(worker));
         }
-        followed.delete(worker);
+        polledWorkers.delete(worker);
     }
 
     async function poll(worker: Worker, waitMs: number): Promise<void> {
@@ -178,7 +178,7 @@
         result: Extract<PollResult, { kind: "listed"; }>,
         sentAtMs: number,
     ): Promise<void> {
-        if (!isCurrentIncarnation(board, worker)) {
+        if (!isCurrentIncarnation(schedulerState, worker)) {
             // Another record of the worker has its runs by now; applied to this one, the list would show only stray runs.
             return;
         }
@@ -230,7 +230,7 @@
     function applyRunning(worker: Worker, rows: readonly ListedRun[]): void {
         let strays = 0;
         for (const row of rows) {
-            const task = findTask(board, row.task);
+            const task = findTask(schedulerState, row.task);
             const run = task?.runs.find((known) => known.number === row.run && known.worker === worker);
             if (run === undefined) {
                 strays++;
@@ -279,7 +279,7 @@
             if (end.number <= worker.ackedEnd) {
                 continue;
             }
-            reportReappeared(worker, findTask(board, end.task), end.run, end.how);
+            reportReappeared(worker, findTask(schedulerState, end.task), end.run, end.how);
             const entry = opts.applyEnd(worker, end);
             opts.report({ kind: "end", task: end.task, run: end.run, worker: worker.id, how: end.how });
             if (entry !== undefined) {
@@ -308,9 +308,9 @@
     }
 
     return {
-        follow(worker) {
-            if (!isStopped && !followed.has(worker) && isNeeded(worker)) {
-                followed.add(worker);
+        ensurePolling(worker) {
+            if (!isStopped && !polledWorkers.has(worker) && isNeeded(worker)) {
+                polledWorkers.add(worker);
                 void pollLoop(worker);
             }
         },
@@ -321,7 +321,7 @@
             pollsScheduled.add(worker);
             setTimeout(() => {
                 pollsScheduled.delete(worker);
-                if (!isStopped && tenure.isValid() && isCurrentIncarnation(board, worker)) {
+                if (!isStopped && tenure.isValid() && isCurrentIncarnation(schedulerState, worker)) {
                     void poll(worker, 0);
                 }
             }, pollNowDelayMs);
--- a/src/runs/test/looks.steps.ts
+++ b/src/runs/test/looks.steps.ts
@@ -18,7 +18,7 @@
 interface World {
     /** Installed by a hook for all scenarios of this folder. */
     clock: Clock;
-    board: SchedulerState;
+    state: SchedulerState;
     worker: Worker;
     polling: WorkerPolling;
     pollCount: number;
@@ -36,7 +36,7 @@
 
 function addWorker(world: World): Worker {
     const worker = { ...createWorker(id, bornMs), address: id, isRegistered: true };
-    world.board.workers.set(id, worker);
+    world.state.workers.set(id, worker);
     return worker;
 }
 
@@ -58,7 +58,7 @@
         api,
         tenure: { token: 1, condition: { key: "", revision: 1 }, isValid: () => true },
         clocks: { steadyMs: () => performance.now(), suspendAwareMs: () => performance.now() },
-        board: world.board,
+        state: world.state,
         report() {},
         maxLeaseMs: 6000,
         applyEnd: () => undefined,
@@ -74,13 +74,13 @@
 }
 
 Given("a worker with a poll in flight", async function(this: World) {
-    this.board = createSchedulerState();
+    this.state = createSchedulerState();
     this.pollCount = 0;
     this.stopped = [];
     this.dropped = [];
     this.polling = createTestPolling(this);
     this.worker = addWorker(this);
-    this.polling.follow(this.worker);
+    this.polling.ensurePolling(this.worker);
     await this.clock.advance(1);
     assert.equal(this.pollCount, 1);
 });
@@ -99,12 +99,12 @@
 
 function addTask(world: World, phase: RunPhase): void {
     const submission = plainSubmission("0000000000000001");
-    const entry = addSubmission(world.board, submission, 1, false, 0);
+    const entry = addSubmission(world.state, submission, 1, false, 0);
     addDueOccurrences(entry, Date.now(), 0);
     const [task] = tasksOf(entry);
-    const worker = world.board.workers.get(id);
+    const worker = world.state.workers.get(id);
     assert.ok(task && worker);
-    addRun(world.board, task, worker, 1, phase, 0);
+    addRun(world.state, task, worker, 1, phase, 0);
     world.task = task.name;
 }
 
--- a/src/runs/test/relayedWorkers.steps.ts
+++ b/src/runs/test/relayedWorkers.steps.ts
@@ -13,7 +13,7 @@
 interface Call {
     readonly by: string;
     readonly worker: string;
-    readonly order?: StartRequest;
+    readonly request?: StartRequest;
 }
 
 interface World {
@@ -26,7 +26,7 @@
     start: StartResult | undefined;
 }
 
-const startOrder: StartRequest = {
+const startRequest: StartRequest = {
     task: "5c0e7a21d94b36f8.0.0.0",
     run: 2,
     payload: "payload",
@@ -50,12 +50,12 @@
 
 /** Workers that record which entry called them. */
 function createRecordingWorkers(world: World, by: string): WorkerApi {
-    const record = ({ id }: WorkerTarget, order?: StartRequest) =>
-        world.calls.push({ by, worker: id, ...order === undefined ? {} : { order } });
+    const record = ({ id }: WorkerTarget, request?: StartRequest) =>
+        world.calls.push({ by, worker: id, ...request === undefined ? {} : { request } });
     const taken = { kind: "taken", workerMs: 1 } as const;
     return {
-        start(worker, order) {
-            record(worker, order);
+        start(worker, request) {
+            record(worker, request);
             return Promise.resolve({ kind: "started", workerMs: 1 });
         },
         poll(worker) {
@@ -109,14 +109,14 @@
 });
 
 When("it polls {int} worker/workers", async function(this: World, count: number) {
-    const order = { token: 7, ackedEnd: 0, leaseUntilMs: 4500, waitMs: 0 };
-    const polls = Array.from({ length: count }, (_, at) => this.workers.poll({ id: `w${at}`, address: "" }, order));
+    const request = { token: 7, ackedEnd: 0, leaseUntilMs: 4500, waitMs: 0 };
+    const polls = Array.from({ length: count }, (_, at) => this.workers.poll({ id: `w${at}`, address: "" }, request));
     await this.clock.advance(1000);
     (await Promise.all(polls)).forEach(({ kind }) => assert.equal(kind, "listed"));
 });
 
 When("a task is started", async function(this: World) {
-    void this.workers.start({ id: "w0", address: "" }, startOrder).then((result) => this.start = result);
+    void this.workers.start({ id: "w0", address: "" }, startRequest).then((result) => this.start = result);
     await this.clock.advance(1000);
 });
 
@@ -140,5 +140,5 @@
 });
 
 Then("the worker has received the request unchanged", function(this: World) {
-    assert.deepEqual(this.calls, [{ by: "peer-1", worker: "w0", order: startOrder }]);
+    assert.deepEqual(this.calls, [{ by: "peer-1", worker: "w0", request: startRequest }]);
 });
--- a/src/runs/workerApi.ts
+++ b/src/runs/workerApi.ts
@@ -104,11 +104,11 @@
 /** Client of the workers. Implementations make no decisions and do not retry. */
 export interface WorkerApi {
     /** Starts a run. */
-    start(worker: WorkerTarget, order: StartRequest): Promise<StartResult>;
+    start(worker: WorkerTarget, request: StartRequest): Promise<StartResult>;
     /** Stops a run, or prevents one that has not arrived yet from starting. */
     stop(worker: WorkerTarget, task: string, run: number, token: number): Promise<RequestResult>;
     /** Lists what runs and what has ended, and renews leases. */
-    poll(worker: WorkerTarget, order: PollRequest): Promise<PollResult>;
+    poll(worker: WorkerTarget, request: PollRequest): Promise<PollResult>;
     /** Sets the pace of a run, in percent. */
     pace(worker: WorkerTarget, task: string, run: number, percent: number, token: number): Promise<RequestResult>;
 }
--- a/src/schedule/queueOf.ts
+++ b/src/schedule/queueOf.ts
@@ -11,7 +11,7 @@
 const queueIndexes = new WeakMap<Policy, ReadonlyMap<string, QueueConfig>>();
 
 function indexQueues(policy: Policy): ReadonlyMap<string, QueueConfig> {
-    const index = queueIndexes.get(policy) ?? new Map(policy.queues.map((route) => [route.name, route]));
+    const index = queueIndexes.get(policy) ?? new Map(policy.queues.map((queue) => [queue.name, queue]));
     queueIndexes.set(policy, index);
     return index;
 }
--- a/src/scheduler/chooseEvictions.ts
+++ b/src/scheduler/chooseEvictions.ts
@@ -5,7 +5,7 @@
 const availablePercent = 100;
 
 export interface EvictionOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     /** Tasks are stopped even if no other worker can take them. */
     readonly isUrgent: boolean;
     readonly nowMs: number;
@@ -22,8 +22,8 @@
  * to end.
  */
 export function chooseEvictions(worker: Worker, opts: EvictionOptions): readonly Run[] {
-    const { board, nowMs } = opts;
-    const others = (groupByPool(board).get(worker.pool) ?? []).filter((other) => other !== worker);
+    const { state, nowMs } = opts;
+    const others = (groupByPool(state).get(worker.pool) ?? []).filter((other) => other !== worker);
     const chosen: Run[] = [];
     for (const run of worker.runs) {
         const { step } = run.task;
@@ -36,11 +36,11 @@
 }
 
 function isWithinMaxUnavailable({ task }: Run, chosen: readonly Run[], { maxStopMs }: EvictionOptions): boolean {
-    const { step, entry: owner, occurrence, stepNumber } = task;
+    const { step, entry, occurrence, stepNumber } = task;
     if (step.maxUnavailable === 0) {
         return true;
     }
-    const siblings = owner.occurrences[occurrence]?.tasks[stepNumber] ?? [];
+    const siblings = entry.occurrences[occurrence]?.tasks[stepNumber] ?? [];
     const unavailable =
         siblings.filter((other) => other !== task && !isAvailable(other.runs, chosen, maxStopMs)).length;
     return unavailable < step.maxUnavailable;
--- a/src/scheduler/createConsolidator.ts
+++ b/src/scheduler/createConsolidator.ts
@@ -5,7 +5,7 @@
 import { chooseEvictions } from "./chooseEvictions";
 
 export interface ConsolidatorOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly clocks: Clocks;
     /** Longest time that a worker takes to stop a task, in milliseconds. */
     readonly maxStopMs: number;
@@ -20,7 +20,7 @@
 
 /** Creates a consolidator for all pools. */
 export function createConsolidator(opts: ConsolidatorOptions): Consolidator {
-    const { board, clocks } = opts;
+    const { state, clocks } = opts;
     const longRunningOnlySinceMs = new Map<Worker, number>();
     /** The worker that is being emptied, by pool. */
     const emptyingByPool = new Map<string, Worker>();
@@ -40,7 +40,7 @@
 
     function removeGoneWorkers(): void {
         for (const worker of longRunningOnlySinceMs.keys()) {
-            if (board.workers.get(worker.id) !== worker) {
+            if (state.workers.get(worker.id) !== worker) {
                 longRunningOnlySinceMs.delete(worker);
             }
         }
@@ -53,7 +53,7 @@
             worker.isReserved = false;
             return;
         }
-        for (const run of chooseEvictions(worker, { board, isUrgent: false, nowMs, maxStopMs: opts.maxStopMs })) {
+        for (const run of chooseEvictions(worker, { state, isUrgent: false, nowMs, maxStopMs: opts.maxStopMs })) {
             opts.stop(run, "its task is consolidated onto a worker in use");
         }
     }
@@ -61,7 +61,7 @@
     return {
         decide(demand) {
             const nowMs = clocks.steadyMs();
-            const pools = groupByPool(board);
+            const pools = groupByPool(state);
             removeGoneWorkers();
             for (const need of demand) {
                 const workers = pools.get(need.pool) ?? [];
--- a/src/scheduler/createFleetController.ts
+++ b/src/scheduler/createFleetController.ts
@@ -20,7 +20,7 @@
 import { sumPoolUsage } from "./sumPoolUsage";
 
 export interface FleetControllerOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly clocks: Clocks;
     readonly report: Reporter;
     readonly tenure: Tenure;
@@ -68,7 +68,7 @@
 
 /** Moves machines to pools with waiting work, moves idle ones to the standby pool, and carries out maintenance waves. */
 export function createFleetController(opts: FleetControllerOptions): FleetController {
-    const { board, clocks } = opts;
+    const { state, clocks } = opts;
     const maxMovesPerRound = Math.max(1, Math.floor(opts.ordersPerSecond * decisionIntervalMs / 1000 * moveRateShare));
     const standby = () => [...opts.policy()?.pools.values() ?? []].find(({ isStandby }) => isStandby)?.name;
     const view = createFleetView({ ...opts, standby });
@@ -84,7 +84,7 @@
             return;
         }
         reportedAtMs = nowMs;
-        const pools = groupByPool(board);
+        const pools = groupByPool(state);
         for (const { pool, isStandby, waitingCpuMillis, neededCpuMillis, comingCpuMillis: coming } of demand) {
             const usage = sumPoolUsage(pools.get(pool) ?? []);
             if (!isStandby) {
@@ -146,7 +146,7 @@
             return;
         }
         const demand = measureDemand({
-            board,
+            state,
             policy,
             estimates: opts.estimates,
             meter: opts.meter,
--- a/src/scheduler/createFleetView.ts
+++ b/src/scheduler/createFleetView.ts
@@ -4,7 +4,7 @@
 import { isInService, type SchedulerState, type Worker } from "../schedule";
 
 export interface FleetViewOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly clocks: Clocks;
     readonly report: Reporter;
     readonly machines: MachineApi;
@@ -92,7 +92,7 @@
 
 /** Tracks the platform's machine list and the pending machine orders. */
 export function createFleetView(opts: FleetViewOptions): FleetView {
-    const { board, clocks, orders } = opts;
+    const { state: schedulerState, clocks, orders } = opts;
     const machines = new Map<string, Machine>();
     const pendingOrders = new Map<string, PendingOrder>();
     const blockedUntilMs = new Map<string, number>();
@@ -138,7 +138,7 @@
 
     /** Finds the worker that ran on the machine at the time of the order, if this incarnation is still the known one. */
     function findIncarnation(before: Worker | undefined): Worker | undefined {
-        const worker = before === undefined ? undefined : board.workers.get(before.id);
+        const worker = before === undefined ? undefined : schedulerState.workers.get(before.id);
         return worker?.bornMs === before?.bornMs ? worker : undefined;
     }
 
@@ -206,7 +206,7 @@
     }
 
     function workerOf(machine: Machine | undefined): Worker | undefined {
-        return machine?.workerId === undefined ? undefined : board.workers.get(machine.workerId);
+        return machine?.workerId === undefined ? undefined : schedulerState.workers.get(machine.workerId);
     }
 
     function isEvacuated(machine: Machine | undefined): boolean {
--- a/src/scheduler/createPlanner.ts
+++ b/src/scheduler/createPlanner.ts
@@ -18,7 +18,7 @@
 } from "../schedule";
 
 export interface PlannerOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly estimates: DurationEstimates;
     readonly tenure: Tenure;
     readonly steadyMs: () => number;
@@ -50,7 +50,7 @@
 
 /** Plans starts and speculative runs in rounds. */
 export function createPlanner(opts: PlannerOptions): Planner {
-    const { board, estimates, steadyMs } = opts;
+    const { state, estimates, steadyMs } = opts;
     let isDue = false;
     let isStopped = false;
     let nextRoundAtMs = 0;
@@ -77,7 +77,7 @@
             return;
         }
         const planned = planStarts({
-            state: board,
+            state,
             policy,
             estimates,
             nowMs,
@@ -85,9 +85,9 @@
             allowedWorkers: findAllowedWorkers,
             maxStarts,
         });
-        const pools = groupByPool(board);
+        const pools = groupByPool(state);
         const speculative = planSpeculativeRuns({
-            state: board,
+            state,
             workersOf: (pool) => pools.get(pool) ?? [],
             poolOf: (submission) => queueOf(policy, submission).service,
             estimates,
@@ -122,6 +122,6 @@
 }
 
 /** Returns the name of a task's step for the advice service. */
-export function adviceStepName({ entry: owner, occurrence, stepNumber }: Task): string {
-    return `${owner.submission.id}.${occurrence}.${stepNumber}`;
+export function adviceStepName({ entry, occurrence, stepNumber }: Task): string {
+    return `${entry.submission.id}.${occurrence}.${stepNumber}`;
 }
--- a/src/scheduler/createScheduler.ts
+++ b/src/scheduler/createScheduler.ts
@@ -41,7 +41,7 @@
     /** How long finished submissions can be queried, in milliseconds. */
     readonly keepFinishedMs: number;
     /** Minimum time between orders of two different leaders for one machine, in milliseconds. */
-    readonly machineTurnMs: number;
+    readonly minMachineHandoverMs: number;
     /** How long the maintenance of a machine takes, in milliseconds. */
     readonly maintenanceMs: number;
     /** How long a machine takes to change its pool, in milliseconds. */
@@ -120,7 +120,7 @@
 /** Schedules tasks and machines of all pools while the tenure lasts. */
 export function createScheduler(opts: SchedulerOptions): Scheduler {
     const { store, tenure, clocks, report } = opts;
-    const board = createSchedulerState();
+    const state = createSchedulerState();
     const estimates = createDurationEstimates();
     const joinMs = opts.bounds.moveMs + joinOverheadMs;
     const meter = createDemandMeter(joinMs);
@@ -143,7 +143,7 @@
         if (cause !== DropCause.notOrdered) {
             task.droppedRuns.add(number);
         }
-        removeRun(board, run, nowMs);
+        removeRun(state, run, nowMs);
         submissionTracker.forgetIfOver(task.entry);
         planner.planSoon();
     }
@@ -153,7 +153,7 @@
         worker.isRegistered = false;
         worker.strayRunCount = 0;
         [...worker.runs].forEach((run) => drop(run, DropCause.lifeEnded, reason));
-        removeWorker(board, worker);
+        removeWorker(state, worker);
     }
 
     const progressWriter = createProgressWriter({
@@ -182,12 +182,12 @@
         api: opts.workerApi,
         tenure,
         clocks,
-        board,
+        state,
         report,
         maxLeaseMs: opts.bounds.maxLeaseMs,
         applyEnd: (worker, end) =>
             applyEnd(worker, end, {
-                board,
+                state,
                 policy: opts.policy(),
                 estimates,
                 nowMs: clocks.steadyMs(),
@@ -215,17 +215,17 @@
         onChange: () => planner.planSoon(),
     });
     const workerTracker = createWorkerTracker({
-        board,
+        state,
         decoder: opts.decoder,
         report,
         steadyMs: clocks.steadyMs,
         onIncarnationEnded: handleIncarnationEnded,
         hasPendingOrder: (worker) => fleetController.hasPendingOrder(worker),
         evacuatedZones: opts.evacuatedZones,
-        follow: polling.follow,
+        ensurePolling: polling.ensurePolling,
     });
     const submissionTracker = createSubmissionTracker({
-        board,
+        state,
         estimates,
         meter,
         report,
@@ -235,7 +235,7 @@
         save: (entry) => void progressWriter.save(entry),
     });
     const planner = createPlanner({
-        board,
+        state,
         estimates,
         tenure,
         steadyMs: clocks.steadyMs,
@@ -245,17 +245,17 @@
         startAll: (entry, group) => void startAll(entry, group),
     });
     const pacer = createPacer({ api: opts.workerApi, tenure, clocks });
-    const watchdog = createWatchdog({ board, clocks, estimates, report, stop: runControl.stop });
+    const watchdog = createWatchdog({ state, clocks, estimates, report, stop: runControl.stop });
     const orders = createMachineOrders({
         store,
         machines: opts.machines,
         tenure,
         orderer: { holder: opts.holder, token: tenure.token },
         report,
-        minHandoverMs: opts.bounds.machineTurnMs,
+        minHandoverMs: opts.bounds.minMachineHandoverMs,
     });
     const fleetController = createFleetController({
-        board,
+        state,
         clocks,
         report,
         tenure,
@@ -285,27 +285,27 @@
             if (run.worker.runs.has(run)) {
                 entry.hasStarted = true;
                 void runControl.start(run);
-                polling.follow(run.worker);
+                polling.ensurePolling(run.worker);
             }
         }
     }
 
     function markEvacuated(): void {
         const zones = opts.evacuatedZones();
-        for (const worker of board.workers.values()) {
+        for (const worker of state.workers.values()) {
             worker.isEvacuated = zones.has(worker.zone);
         }
     }
 
     function tick(): void {
         const nowMs = clocks.steadyMs();
-        for (const entry of board.submissions.values()) {
+        for (const entry of state.submissions.values()) {
             addDueOccurrences(entry, Date.now(), nowMs);
         }
-        for (const worker of board.workers.values()) {
-            polling.follow(worker);
+        for (const worker of state.workers.values()) {
+            polling.ensurePolling(worker);
             if (!worker.isRegistered && worker.runs.size === 0) {
-                removeWorker(board, worker);
+                removeWorker(state, worker);
             }
         }
         watchdog.tick();
--- a/src/scheduler/createSubmissionTracker.ts
+++ b/src/scheduler/createSubmissionTracker.ts
@@ -18,7 +18,7 @@
 import { restoreProgress } from "./restoreProgress";
 
 export interface SubmissionTrackerOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly estimates: DurationEstimates;
     readonly meter: DemandMeter;
     readonly report: Reporter;
@@ -69,7 +69,7 @@
 
 /** Creates a tracker that adds submissions from the store and follows each to its final state. */
 export function createSubmissionTracker(opts: SubmissionTrackerOptions): SubmissionTracker {
-    const { board, report, steadyMs } = opts;
+    const { state: schedulerState, report, steadyMs } = opts;
     const finalStates = new Map<string, { readonly state: FinalState; readonly atMs: number; }>();
     let storedProgress: ReadonlyMap<string, StoredProgress> = new Map();
 
@@ -84,7 +84,7 @@
             finalStates.set(id, { state: record.state, atMs: record.endedAtMs });
             return;
         }
-        const known = board.submissions.get(id);
+        const known = schedulerState.submissions.get(id);
         if (known !== undefined) {
             known.revision = item.revision;
             if (record.isCancelled) {
@@ -93,18 +93,23 @@
             return;
         }
         const nowMs = steadyMs();
-        const entry = addSubmission(board, record.submission, item.revision, record.isCancelled, nowMs);
+        const entry = addSubmission(schedulerState, record.submission, item.revision, record.isCancelled, nowMs);
         const stored = storedProgress.get(progressKey(id));
         if (stored !== undefined) {
             entry.progressRevision = stored.revision;
-            restoreProgress(board, entry, stored.tasks, opts.findWorker, nowMs);
+            restoreProgress(schedulerState, entry, stored.tasks, opts.findWorker, nowMs);
         }
         addDueOccurrences(entry, Date.now(), nowMs);
         const ageMs = Math.max(0, Date.now() - record.submission.acceptedAtMs);
-        const { workCoreMs, criticalPathMs: chainMs } = estimateRemaining(entry, opts.estimates, nowMs);
+        const { workCoreMs, criticalPathMs } = estimateRemaining(entry, opts.estimates, nowMs);
         if (workCoreMs > 0) {
-            const cpuMillis = 1000 * workCoreMs / Math.max(1, chainMs);
-            opts.meter.recordArrival(record.submission.service, { cpuMillis, minDurationMs: chainMs }, nowMs, ageMs);
+            const cpuMillis = 1000 * workCoreMs / Math.max(1, criticalPathMs);
+            opts.meter.recordArrival(
+                record.submission.service,
+                { cpuMillis, minDurationMs: criticalPathMs },
+                nowMs,
+                ageMs,
+            );
         }
         reportChange(entry, "taken");
         settle(entry);
@@ -137,8 +142,8 @@
         else {
             return;
         }
-        const { finalState: ending } = entry;
-        tasks.forEach((task) => [...task.runs].forEach((run) => opts.stop(run, `its submission is ${ending}`)));
+        const { finalState } = entry;
+        tasks.forEach((task) => [...task.runs].forEach((run) => opts.stop(run, `its submission is ${finalState}`)));
         opts.save(entry);
     }
 
@@ -146,7 +151,7 @@
         // Runs that are still being stopped are found through their submission.
         const isFinal = finalStates.has(entry.submission.id) && entry.finalState !== undefined;
         if (isFinal && [...tasksOf(entry)].every((task) => task.runs.length === 0)) {
-            board.submissions.delete(entry.submission.id);
+            schedulerState.submissions.delete(entry.submission.id);
         }
     }
 
@@ -165,7 +170,7 @@
         hasEnded: ({ submission }) => finalStates.has(submission.id),
         forgetIfOver,
         findState(id) {
-            const entry = board.submissions.get(id);
+            const entry = schedulerState.submissions.get(id);
             const state = finalStates.get(id)?.state;
             if (state !== undefined || entry === undefined) {
                 return state;
@@ -178,7 +183,7 @@
         },
         countPending(route) {
             let count = 0;
-            for (const entry of board.submissions.values()) {
+            for (const entry of schedulerState.submissions.values()) {
                 const isWaiting = !entry.hasStarted && !entry.isCancelled;
                 count += isWaiting && entry.submission.route === route ? 1 : 0;
             }
--- a/src/scheduler/createWatchdog.ts
+++ b/src/scheduler/createWatchdog.ts
@@ -3,7 +3,7 @@
 import { type DurationEstimates, quarantine, type Run, type SchedulerState, type Worker } from "../schedule";
 
 export interface WatchdogOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly clocks: Clocks;
     readonly estimates: DurationEstimates;
     readonly report: Reporter;
@@ -28,7 +28,7 @@
 
 /** Stops stalled tasks, and tasks on draining workers that would not finish there. */
 export function createWatchdog(opts: WatchdogOptions): Watchdog {
-    const { board, clocks } = opts;
+    const { state, clocks } = opts;
 
     function isStalled(run: Run, nowMs: number): boolean {
         const isObservedRunning = run.phase === "running" && run.firstListedAtMs !== undefined;
@@ -75,7 +75,7 @@
             }
         },
         tick() {
-            for (const worker of board.workers.values()) {
+            for (const worker of state.workers.values()) {
                 if (worker.isDraining && worker.isRegistered) {
                     stopUnfinishable(worker);
                 }
--- a/src/scheduler/createWaveController.ts
+++ b/src/scheduler/createWaveController.ts
@@ -13,7 +13,7 @@
 import { countLongRunningTasks, minEmptyingMs } from "./minEmptyingMs";
 
 export interface WaveControllerOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly clocks: Clocks;
     readonly view: FleetView;
     readonly orders: MachineOrders;
@@ -60,7 +60,7 @@
 
 /** Carries out maintenance waves: empties their machines, orders the maintenance and reports complete waves. */
 export function createWaveController(opts: WaveControllerOptions): WaveController {
-    const { board, clocks, view, orders } = opts;
+    const { state, clocks, view, orders } = opts;
     const { machines } = view;
     const missingSinceMs = new Map<string, number>();
     const emptyingSinceMs = new Map<string, number>();
@@ -99,7 +99,7 @@
         const sinceMs = emptyingSinceMs.get(id) ?? nowMs;
         emptyingSinceMs.set(id, sinceMs);
         const isUrgent = nowMs - sinceMs > maxEmptyingMs;
-        for (const run of chooseEvictions(worker, { board, isUrgent, nowMs, maxStopMs: opts.maxStopMs })) {
+        for (const run of chooseEvictions(worker, { state, isUrgent, nowMs, maxStopMs: opts.maxStopMs })) {
             opts.stop(run, "its machine is due for maintenance");
         }
     }
--- a/src/scheduler/createWorkerTracker.ts
+++ b/src/scheduler/createWorkerTracker.ts
@@ -4,7 +4,7 @@
 import type { WorkerDecoder, WorkerRegistration } from "./workerRegistration";
 
 export interface WorkerTrackerOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly decoder: WorkerDecoder;
     readonly report: Reporter;
     readonly steadyMs: () => number;
@@ -13,7 +13,7 @@
     hasPendingOrder(worker: Worker): boolean;
     readonly evacuatedZones: () => ReadonlySet<string>;
     /** Starts polling a worker if that is needed. */
-    follow(worker: Worker): void;
+    ensurePolling(worker: Worker): void;
 }
 
 /** Tracks the incarnations of workers during a tenure, from progress records, registrations and run lists. */
@@ -28,7 +28,7 @@
 
 /** Creates a tracker for the workers of one tenure. */
 export function createWorkerTracker(opts: WorkerTrackerOptions): WorkerTracker {
-    const { board, decoder, steadyMs } = opts;
+    const { state, decoder, steadyMs } = opts;
 
     const endIncarnation = (reason: string) => (previous: Worker) => opts.onIncarnationEnded(previous, reason);
 
@@ -36,7 +36,7 @@
         findRecorded(id, bornMs) {
             const nowMs = steadyMs();
             const worker = ensureIncarnation(
-                board,
+                state,
                 id,
                 bornMs,
                 nowMs,
@@ -55,7 +55,7 @@
             const id = decoder.idOf(key);
             const registration = item === undefined ? undefined : decoder.decode(key, item.text);
             if (registration === undefined) {
-                const known = board.workers.get(id);
+                const known = state.workers.get(id);
                 if (known !== undefined) {
                     known.isRegistered = false;
                 }
@@ -65,7 +65,7 @@
                 return;
             }
             const worker = ensureIncarnation(
-                board,
+                state,
                 id,
                 registration.bornMs,
                 steadyMs(),
@@ -77,11 +77,11 @@
             worker.isEvacuated = opts.evacuatedZones().has(worker.zone);
             // After a short absence of its registration the worker is a new object, without the reservation.
             worker.isReserved ||= opts.hasPendingOrder(worker);
-            opts.follow(worker);
+            opts.ensurePolling(worker);
         },
         handleOtherIncarnation(worker, bornMs) {
             const reason = "the worker restarted under the same id";
-            opts.follow(replaceIncarnation(board, worker, bornMs, steadyMs(), endIncarnation(reason)));
+            opts.ensurePolling(replaceIncarnation(state, worker, bornMs, steadyMs(), endIncarnation(reason)));
         },
     };
 }
--- a/src/scheduler/findUnplaceable.ts
+++ b/src/scheduler/findUnplaceable.ts
@@ -37,8 +37,8 @@
  */
 export function unplaceableLongRunningCpuMillis(workers: readonly Worker[], nowMs: number): number {
     let cpuMillis = 0;
-    for (const { isRegistered: isListed, isReserved, runs } of workers) {
-        for (const { phase, task } of isListed && isReserved ? runs : []) {
+    for (const { isRegistered, isReserved, runs } of workers) {
+        for (const { phase, task } of isRegistered && isReserved ? runs : []) {
             if (phase === "running" && task.step.isLongRunning && !isPlaceable(task, workers, nowMs)) {
                 cpuMillis += task.step.size.cpuMillis;
             }
--- a/src/scheduler/measureDemand.ts
+++ b/src/scheduler/measureDemand.ts
@@ -17,7 +17,7 @@
 import { sumPoolUsage } from "./sumPoolUsage";
 
 export interface DemandOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly policy: Policy;
     readonly estimates: DurationEstimates;
     readonly meter: DemandMeter;
@@ -56,7 +56,7 @@
 
 /** Measures the demand and the capacity of each pool. */
 export function measureDemand(opts: DemandOptions): readonly PoolDemand[] {
-    const pools = groupByPool(opts.board);
+    const pools = groupByPool(opts.state);
     const open = sumOpenWork(opts);
     return [...opts.policy.pools.values()].map(({ name, isStandby }) =>
         measurePool(name, isStandby, pools.get(name) ?? [], open.get(name) ?? createOpenWork(), opts)
@@ -100,9 +100,7 @@
         comingCpuMillis,
         reserveCpuMillis: reservedSubmissions * meter.meanSubmissionCpuMillis(pool),
         machineCount:
-            workers.filter(({ isRegistered: isListed, isReserved, isEvacuated }) =>
-                isListed && !isReserved && !isEvacuated
-            )
+            workers.filter(({ isRegistered, isReserved, isEvacuated }) => isRegistered && !isReserved && !isEvacuated)
                 .length,
     };
 }
@@ -113,7 +111,7 @@
 
 function sumOpenWork(opts: DemandOptions): ReadonlyMap<string, OpenWork> {
     const pools = new Map<string, OpenWork>();
-    for (const entry of opts.board.submissions.values()) {
+    for (const entry of opts.state.submissions.values()) {
         if (entry.finalState === undefined) {
             const { service } = queueOf(opts.policy, entry.submission);
             const open = pools.get(service) ?? createOpenWork();
@@ -135,10 +133,10 @@
         open.waitingLongRunningCpuMillis += cpuMillis;
         return;
     }
-    const outlook = estimateRemaining(entry, opts.estimates, opts.nowMs);
-    const deadlineAgeMs = targetAgeMs(queueOf(opts.policy, submission), outlook);
-    open.cpuMillis += desiredCpuMillis(outlook, deadlineAgeMs, opts.timeOfDayMs - submission.acceptedAtMs);
-    open.coreMs += outlook.workCoreMs;
+    const remaining = estimateRemaining(entry, opts.estimates, opts.nowMs);
+    const deadlineAgeMs = targetAgeMs(queueOf(opts.policy, submission), remaining);
+    open.cpuMillis += desiredCpuMillis(remaining, deadlineAgeMs, opts.timeOfDayMs - submission.acceptedAtMs);
+    open.coreMs += remaining.workCoreMs;
 }
 
 /**
@@ -147,8 +145,8 @@
  * Without a second machine on its way, the maintenance came late or the tasks were unavailable for its whole duration.
  */
 function replacementCpuMillis(workers: readonly Worker[]): number {
-    const leavingWorkers = workers.filter(({ isRegistered: isListed, isDraining, isReserved }) =>
-        isListed && (isDraining || isReserved)
+    const leavingWorkers = workers.filter(({ isRegistered, isDraining, isReserved }) =>
+        isRegistered && (isDraining || isReserved)
     );
     return sumPoolUsage(leavingWorkers).longRunningCpuMillis;
 }
--- a/src/scheduler/restoreProgress.ts
+++ b/src/scheduler/restoreProgress.ts
@@ -6,7 +6,7 @@
  * running. They stay `unconfirmed` until their worker has been polled or its leases have expired.
  */
 export function restoreProgress(
-    board: SchedulerState,
+    state: SchedulerState,
     entry: SubmissionEntry,
     progress: readonly TaskProgress[],
     findWorker: (id: string, bornMs: number) => Worker,
@@ -26,7 +26,7 @@
         task.checkpoint = row.checkpoint;
         row.failedRuns.forEach((number) => task.failedRuns.add(number));
         for (const { number, workerId, bornMs } of row.runs) {
-            addRun(board, task, findWorker(workerId, bornMs), number, "unconfirmed", nowMs);
+            addRun(state, task, findWorker(workerId, bornMs), number, "unconfirmed", nowMs);
         }
     }
 }
--- a/src/scheduler/test/demand.steps.ts
+++ b/src/scheduler/test/demand.steps.ts
@@ -14,7 +14,7 @@
 import { measureDemand } from "../index";
 
 interface World {
-    board: SchedulerState;
+    state: SchedulerState;
     policy: Policy;
     nowMs: number;
 }
@@ -23,7 +23,7 @@
 const joinMs = 2000;
 
 Before(function(this: World) {
-    this.board = createSchedulerState();
+    this.state = createSchedulerState();
     this.policy = { ...plainPolicy, tenants: [] };
     this.nowMs = startMs;
 });
@@ -36,7 +36,7 @@
             isRegistered: true,
             runList: { kind: "read" as const, firstReadAtMs: 0, askedAtMs: 0 },
         });
-        this.board.workers.set(worker.id, worker);
+        this.state.workers.set(worker.id, worker);
     }
 });
 
@@ -53,7 +53,7 @@
     for (let at = 0; at < count; at++) {
         const size = { cpuMillis: cores * 1000, memoryMb: 100, accelerators: 0 };
         const submission = plainSubmission(`${tenant}-${at}`, [{ count: tasks, size }]);
-        const entry = addSubmission(world.board, { ...submission, tenant, acceptedAtMs: startMs }, 1, false, startMs);
+        const entry = addSubmission(world.state, { ...submission, tenant, acceptedAtMs: startMs }, 1, false, startMs);
         addDueOccurrences(entry, startMs, startMs);
     }
 }
@@ -65,9 +65,9 @@
     },
 );
 
-function measure({ board, policy, nowMs }: World): PoolDemand {
+function measure({ state, policy, nowMs }: World): PoolDemand {
     const [demand] = measureDemand({
-        board,
+        state,
         policy,
         estimates: createDurationEstimates(),
         meter: createDemandMeter(joinMs),
--- a/src/scheduler/test/fleetView.steps.ts
+++ b/src/scheduler/test/fleetView.steps.ts
@@ -7,7 +7,7 @@
 interface World {
     nowMs: number;
     machine: Machine;
-    board: SchedulerState;
+    state: SchedulerState;
     worker: Worker;
     view: FleetView;
     polled: Worker[];
@@ -22,7 +22,7 @@
 
 function createView(world: World): FleetView {
     return createFleetView({
-        board: world.board,
+        state: world.state,
         clocks: { steadyMs: () => world.nowMs, suspendAwareMs: () => world.nowMs },
         report() {},
         machines: {
@@ -52,7 +52,7 @@
     world.worker = createWorker("worker-1", bornMs);
     world.worker.isRegistered = true;
     world.worker.runList = { kind: "read", firstReadAtMs: 0, askedAtMs: 0 };
-    world.board.workers.set(world.worker.id, world.worker);
+    world.state.workers.set(world.worker.id, world.worker);
 }
 
 async function readList(world: World): Promise<void> {
@@ -64,7 +64,7 @@
     this.nowMs = 10_000;
     this.polled = [];
     this.ended = [];
-    this.board = createSchedulerState();
+    this.state = createSchedulerState();
     this.machine = {
         id: "machine-1",
         pool: "stalls",
--- a/standins/scheduling/createSchedulingWorld.ts
+++ b/standins/scheduling/createSchedulingWorld.ts
@@ -325,7 +325,7 @@
                 bounds: {
                     maxLeaseMs: 6000,
                     keepFinishedMs: 120_000,
-                    machineTurnMs: 3000,
+                    minMachineHandoverMs: 3000,
                     maintenanceMs: restartMs,
                     moveMs: restartMs,
                     maxStopMs: 900,
