--- a/src/advice/createPermitCache.ts
+++ b/src/advice/createPermitCache.ts
@@ -18,7 +18,7 @@
      * @param candidates ids of the workers that could run the step apart from permits
      */
     allowedWorkers(step: string, candidates: readonly string[]): ReadonlySet<string> | undefined;
-    /** Returns the ticket for a start, or `undefined` if no valid one is permitsByStep. */
+    /** Returns the ticket for a start, or `undefined` if no valid one is known. */
     ticket(step: string, workerId: string): string | undefined;
     /** Drops the permits of a finished step. */
     forgetStep(step: string): void;
@@ -38,7 +38,10 @@
     readonly validUntilMs: number;
 }
 
-/** Requests permits one at a time, because the service answers callers in turn, and caches them while they are valid. */
+/**
+ * Requests permits one at a time, because the service answers requests one after another. Caches permits while they are
+ * valid.
+ */
 export function createPermitCache(opts: PermitCacheOptions): PermitCache {
     const permitsByStep = new Map<string, StepPermits>();
     const candidatesByStep = new Map<string, readonly string[]>();
--- a/src/duties/createLeaderElection.ts
+++ b/src/duties/createLeaderElection.ts
@@ -49,7 +49,7 @@
     updateRanking(ranking: Ranking): void;
     /** The tenure of this entry; `undefined` while it is not leader. */
     tenure(): Tenure | undefined;
-    /** Gives leadership up for good and ends the lease, so that another entry need not wait for it to expire. */
+    /** Gives leadership up permanently and ends the lease, so that another entry need not wait for it to expire. */
     resign(): Promise<void>;
     /** A request was refused because its receiver has seen a higher token; ends the tenure. */
     onFenced(): void;
@@ -80,8 +80,8 @@
 
 /**
  * After a change of leaders, the leader does not resign for being slow for this long, in milliseconds. Where instances are
- * small, the load of the fleet makes each leader slow. Repeated changes then left hundreds of submissions without a single
- * start, since each new leader reads the store for a second or more before its first request.
+ * small, the load of the fleet makes each leader slow. Repeated changes would leave hundreds of submissions without a
+ * single start, since each new leader reads the store for a second or more before its first request.
  */
 const slowResignPauseMs = 10_000;
 
@@ -157,7 +157,7 @@
      *
      * An earlier process on the same instance has ended, because the platform runs one at a time. An expired tenure of this
      * process has ended as well, and overwriting its key ends it in the store. Waiting for its lease in the store instead
-     * left the fleet without a leader for two seconds after each outage of the store in which leases paused.
+     * would leave the fleet without a leader for two seconds after each outage of the store in which leases paused.
      */
     function isVacant(): boolean {
         const isOwnEarlier = holder?.instance === opts.holder.instance
@@ -273,7 +273,7 @@
             return;
         }
         if (!held.tenure.isValid()) {
-            // Writes due meanwhile have been abandoned for good, so the tenure must not become valid again.
+            // Writes due meanwhile have been abandoned, so the tenure must not become valid again.
             expire("the lease was renewed only after its end");
             return;
         }
--- a/src/duties/rankCandidates.ts
+++ b/src/duties/rankCandidates.ts
@@ -27,7 +27,7 @@
  * Relative suitability of an instance as leader: its cores, reduced in proportion where the link is slow.
  *
  * Instances of one fleet differ by a factor of 4 in processor and of 20 in bandwidth. The smallest one as leader of 250
- * workers took 1.7 s to begin and sent a hundred starts per second while thousands of tasks waited.
+ * workers needs 1.7 s to begin and sends a hundred starts per second, while thousands of tasks wait.
  */
 export function computeStrength(cores: number, linkMbps: number): number {
     return cores * Math.min(1, linkMbps / ampleLinkMbps);
--- a/src/duties/test/duties.feature
+++ b/src/duties/test/duties.feature
@@ -32,8 +32,9 @@
         Then at no time within 6000 ms are two entries leader
 
     Scenario: the store recovers from an outage in which leases paused
-        Guards against two more seconds without a leader, in which submissions are accepted and nothing starts. The leader's
-        tenure has expired, but its key is still in the store, and it waits there for its own lease to expire.
+        Guards against two more seconds without a leader, in which submissions are accepted and nothing starts. During
+        the outage the store does not count down its leases. The leader's tenure has expired, but its key is still in
+        the store, and the former leader waits for the lease of its own key to expire.
 
         Given 3 entries
         When 1000 ms pass
--- a/src/runs/applyEnd.ts
+++ b/src/runs/applyEnd.ts
@@ -62,6 +62,8 @@
 
 function applyDone(worker: Worker, task: Task, run: Run | undefined, context: EndContext): void {
     recordSuccess(worker, context.nowMs);
+    // A run that resumed from a checkpoint took less time than the whole task. Its checkpoint can't be told from one
+    // that the run saved itself, so durations are recorded only for runs without any.
     if (run !== undefined && run.checkpoint === "") {
         context.estimates.recordDuration(
             task.entry.submission.route,
--- a/src/runs/createStartWindow.ts
+++ b/src/runs/createStartWindow.ts
@@ -10,13 +10,13 @@
     recordAnswer(tookMs: number): void;
 }
 
-/** Bounds of the window, in starts. The upper one is what one planning cycle may start on an instance that keeps up. */
+/** Bounds of the window, in starts. The upper one is what one planning round may start on an instance that keeps up. */
 const minStarts = 8;
 const maxStarts = 200;
 
 /**
  * Response time above which the window shrinks, in milliseconds. Workers answer within about 10 ms; longer than this, the
- * leader itself or its link delays the answers. A new leader is late with everything for a moment and needs its full window
+ * leader itself or its link delays the answers. A new leader is slow at first and needs its full window
  * at that time, so the limit is not much below the time after which a start counts as unanswered.
  */
 const lateAnswerMs = 150;
@@ -37,8 +37,9 @@
  * Limits the starts in flight to what the leader and its link handle in time (additive increase, multiplicative decrease).
  *
  * A leader that sends all placed starts at once can be far slower than its workers. Its own timeouts then count answers as
- * lost, it stops runs that have just started, lease renewals queue behind starts, and healthy runs lapse. With the window,
- * work that the leader can't start yet waits in the scheduler state, and lease renewals and ends go first.
+ * lost, it stops runs that have just started, lease renewals queue behind starts, and leases of healthy runs expire.
+ * With the window, work that the leader can't start yet waits in the scheduler state, and lease renewals and ends go
+ * first.
  */
 export function createStartWindow(nowMs: () => number): StartWindow {
     const inFlight = new Set<Run>();
--- a/src/runs/test/startWindow.feature
+++ b/src/runs/test/startWindow.feature
@@ -6,9 +6,10 @@
         Then 200 starts may be sent
 
     Scenario: the leader falls behind
-        Guards against healthy tasks that lapse, so that their users wait for a second run. The leader on a small instance
-        gets a burst for a fleet of hundreds of workers. Sent all at once, the starts delay each other's answers, the
-        leader's own timeouts count them as lost, and leases of runs are renewed too late.
+        Guards against runs of healthy tasks that end because their lease expires, so that their users wait for a second
+        run. The leader is on a small instance, and a busy period begins in a fleet of hundreds of workers. Sent all at
+        once, the starts delay each other's answers, the leader's own timeouts count them as lost, and leases of runs
+        are renewed too late.
 
         Given a start window
         When 40 starts are sent and answered after 300 ms each, one after the other
--- a/src/runs/workerApi.ts
+++ b/src/runs/workerApi.ts
@@ -35,6 +35,16 @@
     readonly kind: "fenced";
 }
 
+/**
+ * Answer to a start request. Reasons of a refusal:
+ *
+ * - `oldRun`: the worker has been told to start a later run of the task, or to stop this one or a later one.
+ * - `late`: the request arrived after `leaseUntilMs` by the worker's clock.
+ * - `noRoom`: the worker has not enough free capacity for the task.
+ * - `noTicket`: the request has no ticket that the worker accepts.
+ * - `invalid`: the worker rejected the request for any other reason, such as its format.
+ * - `unhealthy`: the worker takes no new work, or the request could not be sent.
+ */
 export type StartResult =
     | { readonly kind: "started"; readonly workerMs: number; }
     | {
@@ -46,6 +56,7 @@
     | OtherIncarnation
     | NoAnswer;
 
+/** Answer to a stop or pace request; `taken`: the worker has accepted it. */
 export type RequestResult =
     | { readonly kind: "taken"; readonly workerMs: number; }
     | Fenced
@@ -62,6 +73,10 @@
     readonly measure: number;
 }
 
+/**
+ * How a run ended, as its worker reports it; `lapsed`: its lease expired. Only `done` and `failed` are outcomes of the
+ * task. Any other end leaves the task's phase as it is.
+ */
 export type EndKind = "done" | "failed" | "stopped" | "lapsed" | "broken" | "alone";
 
 /** The end of a run, listed by its worker until it is acknowledged. */
@@ -109,6 +124,6 @@
     stop(worker: WorkerTarget, task: string, run: number, token: number): Promise<RequestResult>;
     /** Lists what runs and what has ended, and renews leases. */
     poll(worker: WorkerTarget, request: PollRequest): Promise<PollResult>;
-    /** Sets the pace of a run, in percent. */
+    /** Limits the processor use of a filler's run, in percent, 0 to 100. */
     pace(worker: WorkerTarget, task: string, run: number, percent: number, token: number): Promise<RequestResult>;
 }
--- a/src/runs/workerLease.ts
+++ b/src/runs/workerLease.ts
@@ -74,7 +74,11 @@
     }
 }
 
-/** A request valid by an earlier incarnation's clock may have granted the longest lease that a worker allows. */
+/**
+ * Whether leases from requests that were sent to an earlier incarnation have expired. Their expiry is a time on that
+ * incarnation's clock, which may be far ahead of the present one's, so they may have granted the longest lease that a
+ * worker allows.
+ */
 function areInheritedExpired({ inheritedAtMs }: Worker, { maxLeaseMs }: LeaseBounds, nowMs: number): boolean {
     return inheritedAtMs === undefined || nowMs - inheritedAtMs > maxLocalMs(maxLeaseMs + inFlightRequestsMs);
 }
--- a/src/schedule/desiredCpuMillis.ts
+++ b/src/schedule/desiredCpuMillis.ts
@@ -3,7 +3,7 @@
 /** Minimum span, in milliseconds: for anything shorter, sending the start request takes most of the time. */
 const minSpanMs = 100;
 
-/** A late submission still earns a little up to this multiple of its target, by the platform's rules. */
+/** A late submission still has a little of its value up to this multiple of its target, by the platform's rules. */
 const maxLateFactor = 3;
 
 /**
@@ -13,8 +13,7 @@
  * remaining length of its critical path. Counting all its tasks at once would be wrong, because steps run one after
  * another: with two steps it requests twice as much, and half of the machines that are moved in find nothing to do.
  * Dividing by the time until the target would request fewer machines, but leaves no slack for declared durations that
- * are too short. The work of a submission that is already late is divided by the time in which it still earns
- * something.
+ * are too short. The work of a submission that is already late is divided by the time in which it still has some value.
  */
 export function desiredCpuMillis(
     { workCoreMs, criticalPathMs }: RemainingEstimate,
--- a/src/schedule/estimateRemaining.ts
+++ b/src/schedule/estimateRemaining.ts
@@ -25,7 +25,11 @@
     return entry.remainingEstimate;
 }
 
-/** Greatest age at which a submission of a queue is still completed in time, in milliseconds. */
+/**
+ * Greatest age at which a submission of a queue is still completed in time, in milliseconds.
+ *
+ * The target is a multiple (`stretch`) of the full critical path, because the remaining one shrinks as steps are done.
+ */
 export function targetAgeMs(
     { targetLatencyMs, stretch }: QueueConfig,
     { criticalPathMs, fullCriticalPathMs }: RemainingEstimate,
--- a/src/schedule/estimates.ts
+++ b/src/schedule/estimates.ts
@@ -58,7 +58,7 @@
     return Math.max(0, ...entry.occurrences.map((occurrence) => criticalPathMs(occurrence, estimates, remainingShare)));
 }
 
-/** Length of a submission's critical path over all steps, done or not, in milliseconds. */
+/** Length of a submission's critical path over all steps, done or not, in milliseconds; the same in each occurrence. */
 export function fullCriticalPathMs({ occurrences }: SubmissionEntry, estimates: DurationEstimates): number {
     const [first] = occurrences;
     return first === undefined ? 0 : criticalPathMs(first, estimates, () => 1);
--- a/src/schedule/placeTask.ts
+++ b/src/schedule/placeTask.ts
@@ -65,11 +65,11 @@
 /**
  * Chooses the worker that should run a task; `undefined`: no worker is eligible and has enough free capacity.
  *
- * - The rack of the task's data comes first: elsewhere the task takes longer, by the fleet's `remoteFactor`.
+ * - The rack of the task's data comes first: in other racks it takes longer, by a factor that depends on the fleet.
  * - Long-running tasks go to the fullest worker that still fits them. They stay there, and the machines that are left
  *   empty can be moved to where work waits.
  * - Short tasks also go to the fullest worker, but prefer workers that have long-running tasks. So the machines that
- *   serve a burst become empty soon after it.
+ *   serve a busy period become empty soon after it.
  * - Tasks of one submission that is not long-running prefer one availability zone. A submission ends with its last
  *   task; with all of them spread over all zones, nearly every submission would wait for leases to expire whenever a
  *   zone is partitioned.
--- a/src/schedule/planStarts.ts
+++ b/src/schedule/planStarts.ts
@@ -92,9 +92,9 @@
 }
 
 /**
- * Finds the maximum free capacity in a pool. In a peak nearly every task that is tried can't be placed, and a
- * comparison with the maximum is enough to tell. Checking a few hundred workers for each such task took most of a
- * round. The maximum stays an upper bound, because free capacity only shrinks during a round.
+ * Finds the maximum free capacity in a pool. In a busy period nearly every task that is tried can't be placed, and a
+ * comparison with the maximum is enough to tell. Checking a few hundred workers for each such task would take most of
+ * a round. The maximum stays an upper bound, because free capacity only shrinks during a round.
  */
 function findMaxFree(workers: readonly Worker[]): MaxFree {
     let [cpuMillis, memoryMb, accelerators] = [0, 0, 0];
@@ -119,9 +119,9 @@
 }
 
 /**
- * Submissions with a step that may fit into their pool and is within the limit of their client account. In a peak most
- * submissions wait for a full pool. A leader that ranked all of them in each round would spend its time on finding that
- * none can be placed.
+ * Submissions with a step that may fit into their pool and is within the limit of their client account. In a busy
+ * period most submissions wait for a full pool. A leader that ranked all of them in each round would spend its time on
+ * finding that none can be placed.
  */
 function* listPlaceable(
     { submissions }: SchedulerState,
--- a/src/schedule/queueOf.ts
+++ b/src/schedule/queueOf.ts
@@ -4,7 +4,10 @@
 /** Maximum number of attempts of a task whose queue is no longer configured. */
 const removedQueueMaxAttempts = 2;
 
-/** Stretch of a queue that is no longer configured. With a latency target of 0, its submissions get no precedence. */
+/**
+ * Stretch of a queue that is no longer configured. With this, a latency target of 0 and the lowest priority, its
+ * submissions get no precedence.
+ */
 const removedQueueStretch = 1;
 
 /** Queues by name, for each policy. Each waiting submission needs a lookup among up to a few thousand queues. */
@@ -18,7 +21,7 @@
 
 /**
  * Configuration of a submission's queue. Submissions that were accepted before operators removed their queue still run
- * to their end, in the pool that the queue had when they were accepted.
+ * to their end, in the pool (`service`) that the queue had when they were accepted.
  */
 export function queueOf(policy: Policy, { route, service, tenant }: Submission): QueueConfig {
     return indexQueues(policy).get(route) ?? {
--- a/src/schedule/rankSubmissions.ts
+++ b/src/schedule/rankSubmissions.ts
@@ -42,9 +42,9 @@
 /**
  * Ranks the submissions with tasks that can start, best first.
  *
- * In a burst a queue's demand is five times its mean for some seconds. That exceeds its pool's capacity, so some
- * submissions have to wait. A submission earns nearly all of its value if it ends by its target (stretch times its
- * critical path, plus the queue's latency target) and a fraction of it later. Small submissions earn more per
+ * In a busy period a queue's demand is five times its mean for some seconds. That exceeds its pool's capacity, so some
+ * submissions have to wait. A submission has nearly all of its value if it ends by its target (stretch times its
+ * critical path, plus the queue's latency target) and a fraction of it later. Small submissions have more value per
  * core-second. So those that can still meet their target come first, by priority of the queue and then least remaining
  * work first. Late ones follow, unless they have waited so long that they rank with the first.
  */
--- a/src/schedule/test/schedule.feature
+++ b/src/schedule/test/schedule.feature
@@ -1,8 +1,8 @@
 Feature: Ranking of submissions and placement of their tasks
 
-    Scenario: a small submission starts before a large one in a burst
-        Guards against a few large submissions that delay dozens of small ones, each of which is then late and earns
-        next to nothing. This happens if submissions start in order of arrival while a queue's demand is five times its
+    Scenario: a small submission starts before a large one in a busy period
+        Guards against a few large submissions that make dozens of small ones late, so that each of these loses nearly
+        all of its value. This happens if submissions start in order of arrival while a queue's demand is five times its
         mean and exceeds its pool's capacity.
 
         Given a worker with 4 cores
@@ -64,9 +64,9 @@
         When starts are planned
         Then worker 1 is empty
 
-    Scenario: in a burst each submission keeps to few zones
-        Guards against nearly every submission of a burst being late when one zone is partitioned. A submission ends
-        with its last task. A task in the partitioned zone is started again only when its lease must have expired,
+    Scenario: in a busy period each submission keeps to few zones
+        Guards against nearly every submission of a busy period being late when one zone is partitioned. A submission
+        ends with its last task. A task in the partitioned zone is started again only when its lease must have expired,
         seconds later. With its tasks spread over all zones, nearly every submission has such a task.
 
         Given 8 workers with 3 cores in each of 5 zones
@@ -123,8 +123,8 @@
 
     Scenario: a full pool is not searched for each waiting task
         Guards against planning that takes the leader's whole processor and delays requests to workers and lease
-        renewals. In a peak thousands of tasks wait for a pool of a few hundred workers, and searching it for each of
-        them in each round would take that long.
+        renewals. In a busy period thousands of tasks wait for a pool of a few hundred workers, and searching it for
+        each of them in each round would take that long.
 
         Given 25 workers with 4 cores
         And a submission "first" of 100 tasks that came just now
--- a/src/schedule/test/schedule.steps.ts
+++ b/src/schedule/test/schedule.steps.ts
@@ -94,7 +94,7 @@
 );
 
 Given("{int} submissions of {int} tasks", function(this: World, count: number, tasks: number) {
-    Array.from({ length: count }, (_, at) => submit(this, `burst-${at}`, { count: tasks }));
+    Array.from({ length: count }, (_, at) => submit(this, `many-${at}`, { count: tasks }));
 });
 
 Then("tasks of all have started", function(this: World) {
--- a/src/schedule/workerHealth.ts
+++ b/src/schedule/workerHealth.ts
@@ -11,8 +11,8 @@
 
 /**
  * Time since its last failure after which an unproven worker may run a task that has failed before, in milliseconds.
- * Without this, where every worker has had a failure and no new task comes, no worker would ever be proven healthy
- * again.
+ * Without this, if every worker has had a failure and only tasks that have failed before are waiting, no worker would
+ * ever be proven healthy again.
  */
 const failureMemoryMs = 2000;
 
--- a/src/schedule/workerIncarnations.ts
+++ b/src/schedule/workerIncarnations.ts
@@ -2,7 +2,7 @@
 import { moveRun } from "./runs";
 import type { SchedulerState, Worker } from "./schedulerState";
 
-/** Called with an incarnation that a later one has replaced, and with the runs that stay on it. */
+/** Called with an incarnation that a later one has replaced. Its `runs` are those that were not moved to the later. */
 export type OnIncarnationEnded = (earlier: Worker) => void;
 
 /** Whether the scheduler state has this incarnation under its worker's id. */
--- a/src/scheduler/chooseConsolidation.ts
+++ b/src/scheduler/chooseConsolidation.ts
@@ -20,9 +20,9 @@
 /**
  * Chooses the worker whose tasks should move to others, so that the pool can release its machine.
  *
- * Long-running tasks stay where they were started, such as during a burst of load or a maintenance wave. Each of them
- * can then hold a machine of its own: under low load four pools kept four to five machines each for tasks that fit on
- * one. Only tasks whose step allows an unavailable task are moved, and only to workers that are in use anyway.
+ * Long-running tasks stay where they were started, such as during a busy period or a maintenance wave. Each of them can
+ * then hold a machine of its own: under low load, four pools would keep four to five machines each for tasks that fit
+ * on one. Only tasks whose step allows an unavailable task are moved, and only to workers that are in use anyway.
  */
 export function chooseConsolidation(opts: ConsolidationOptions): Worker | undefined {
     const [worker] = opts.workers
--- a/src/scheduler/createFleetController.ts
+++ b/src/scheduler/createFleetController.ts
@@ -124,6 +124,7 @@
         });
         const movingIds = new Set(moves.map(({ machine }) => machine));
         const shortageByPool = new Map(demand.map((pool) => [pool.pool, pool.isStandby ? 0 : findShortage(pool)]));
+        // A machine is needed if it is about to move, or if its pool would be short of capacity without it.
         const isNeeded = ({ id, pool, capacity }: Machine) =>
             movingIds.has(id) || (pool !== standby() && (shortageByPool.get(pool) ?? 0) + capacity.cpuMillis > 0);
         const deferrableMaintenance = openWaves.filter(({ mayWait }) => mayWait).flatMap((wave) =>
--- a/src/scheduler/createFleetView.ts
+++ b/src/scheduler/createFleetView.ts
@@ -42,7 +42,7 @@
     workerOf(machine: Machine | undefined): Worker | undefined;
     /** Whether an order for the worker's machine is pending, which may end the worker. */
     hasPendingOrder(worker: Worker): boolean;
-    /** Whether the machine can be ordered: no order is pending, and none of an earlier leader can be. */
+    /** Whether an order for the machine may be sent: none is pending, and none of an earlier leader can be. */
     isOrderable(id: string): boolean;
     /**
      * Lists machines without work.
--- a/src/scheduler/createWorkerTracker.ts
+++ b/src/scheduler/createWorkerTracker.ts
@@ -12,7 +12,7 @@
     /** Whether a machine order is pending for the worker's machine. */
     hasPendingOrder(worker: Worker): boolean;
     readonly evacuatedZones: () => ReadonlySet<string>;
-    /** Starts polling a worker if that is needed. */
+    /** Polls a worker from now on, if that is needed and it is not polled already. */
     ensurePolling(worker: Worker): void;
 }
 
--- a/src/scheduler/findUnplaceable.ts
+++ b/src/scheduler/findUnplaceable.ts
@@ -32,8 +32,9 @@
 
 /**
  * Returns the cores of long-running tasks on workers that are being emptied, which no other worker of the pool can take,
- * in thousandths. A step that allows one task per worker fills a pool that looks half empty. When such tasks were stopped
- * before their next machine had joined, each was unavailable for three seconds, and a wave took five seconds for each.
+ * in thousandths. A step that allows one task per worker fills a pool that looks half empty. If such tasks were stopped
+ * before their next machine has joined, each would be unavailable for three seconds, and a wave would take five seconds
+ * for each.
  */
 export function unplaceableLongRunningCpuMillis(workers: readonly Worker[], nowMs: number): number {
     let cpuMillis = 0;
--- a/src/scheduler/measureDemand.ts
+++ b/src/scheduler/measureDemand.ts
@@ -35,8 +35,8 @@
 const maxCheckedSubmissions = 20;
 
 /**
- * Number of submissions for whose first tasks a pool with low load keeps capacity. A burst of short submissions begins
- * with several of them within a tenth of a second, and they are late if they wait for a machine to join.
+ * Number of submissions for whose first tasks a pool with low load keeps capacity. A busy period begins with several
+ * short submissions within a tenth of a second, and they are late if they wait for a machine to join.
  */
 const reservedSubmissions = 3;
 
@@ -84,8 +84,8 @@
     });
     const neededCpuMillis = shortTaskCpuMillis + open.waitingLongRunningCpuMillis + replacementCpuMillis(workers);
     // With a shortage this large, a machine is moved to the pool in any case. If no worker of the pool takes work, the
-    // size of its machines is unknown. When such a pool counted as short, a small task waited eleven seconds and no
-    // machine came.
+    // size of its machines is unknown. If such a pool counted as short, its tasks would not be checked for being
+    // unplaceable, and a small task could wait for eleven seconds without a machine on its way.
     const isShort = usage.workers > 0
         && neededCpuMillis - availableCpuMillis >= minMissingShare * usage.largestCpuMillis;
     const checkedSubmissions = isShort ? [] : open.waitingSubmissions.slice(0, maxCheckedSubmissions);
@@ -142,7 +142,7 @@
 /**
  * Returns the cores of long-running tasks on workers that are draining or being emptied, in thousandths. These tasks
  * will be restarted in their pool. If the pool's only machine is due for maintenance, no other machine can take them.
- * Without a second machine on its way, the maintenance came late or the tasks were unavailable for its whole duration.
+ * Without a second machine on its way, the maintenance would be late or the tasks unavailable for its whole duration.
  */
 function replacementCpuMillis(workers: readonly Worker[]): number {
     const leavingWorkers = workers.filter(({ isRegistered, isDraining, isReserved }) =>
--- a/src/scheduler/minEmptyingMs.ts
+++ b/src/scheduler/minEmptyingMs.ts
@@ -22,9 +22,9 @@
  *
  * `maxUnavailable` limits how many tasks of a step that serves users may be unavailable at once, over all machines. A
  * worker with six tasks of a step that allows one is empty after six rounds of stop and restart, some twelve seconds.
- * If three workers hold 24 tasks of a step that allows three, each worker waits for its turn. Without this estimate
- * such workers began as late as others, and the maintenance of 1 to 7 of some hundred machines came after the wave's
- * deadline.
+ * Three workers with 24 tasks of a step that allows three need eight rounds together, so each waits for the others.
+ * Without this estimate, the emptying of such workers would begin as late as that of others, and of some hundred
+ * machines the maintenance of 1 to 7 would miss the wave's deadline.
  *
  * @param counts number of tasks of each step on all workers that are due, including this one
  * @param maxStopMs longest time that a stop takes, in milliseconds
--- a/src/scheduler/test/fleetView.feature
+++ b/src/scheduler/test/fleetView.feature
@@ -1,8 +1,8 @@
 Feature: Worker and machine state concluded from the machine list
 
-    Scenario: the list shows an ordered machine without its worker
+    Scenario: the list shows a machine without its worker after an order
         Given a machine whose worker has no runs
-        When it is ordered and answered
+        When an order for it is sent and answered as done
         And the list shows it moving
         Then its worker has ended
 
@@ -10,7 +10,7 @@
         Guards against tasks that run twice because the list is older than the worker's answer.
 
         Given a machine whose worker has runs
-        When it is ordered and answered
+        When an order for it is sent and answered as done
         And the list shows it moving
         Then its worker is polled
         And its worker has not ended
@@ -19,7 +19,7 @@
         Guards against tasks that wait for the leases on a worker that has ended.
 
         Given a machine whose worker has runs
-        When it is ordered and answered
+        When an order for it is sent and answered as done
         And its worker does not answer
         And the list shows it moving
         Then its worker has ended
@@ -28,36 +28,36 @@
         Guards against a new incarnation that is mistaken for the previous one.
 
         Given a machine whose worker has no runs
-        When it is ordered and answered
+        When an order for it is sent and answered as done
         And its next worker has the same id
         And the list shows it moving
         Then its worker has not ended
 
-    Scenario: the list shows an ordered machine down
+    Scenario: the list shows a machine down after an order
         Guards against tasks that run twice, because a worker that the platform cannot reach may still run.
 
         Given a machine whose worker has runs
-        When it is ordered and answered
+        When an order for it is sent and answered as done
         And its worker does not answer
         And the list shows it down
         Then its worker has not ended
 
-    Scenario: the worker answers after its machine was ordered
+    Scenario: the worker answers after its machine's order was answered
         Guards against a machine that stays reserved for an order that had been carried out before.
 
         Given a machine whose worker has no runs
-        When it is ordered and answered
+        When an order for it is sent and answered as done
         And the list shows it up
         And its worker answers
         Then its worker has not ended
-        And the machine can be ordered
+        And another order for the machine may be sent
         And its worker takes work
 
-    Scenario: the worker answers before its machine's order does
+    Scenario: the worker answers before its machine's order is answered
         Guards against a machine that is released while its order may still be carried out.
 
         Given a machine whose worker has runs
-        When it is ordered
+        When an order for it is sent
         And the list shows it moving
         And its worker answers
-        Then the machine cannot be ordered
+        Then no other order for the machine may be sent
--- a/src/scheduler/test/fleetView.steps.ts
+++ b/src/scheduler/test/fleetView.steps.ts
@@ -87,11 +87,11 @@
     this.worker.runs.add({} as Run);
 });
 
-When("it is ordered", function(this: World) {
+When("an order for it is sent", function(this: World) {
     this.view.send([move]);
 });
 
-When("it is ordered and answered", function(this: World) {
+When("an order for it is sent and answered as done", function(this: World) {
     this.view.send([move]);
     this.answer({ kind: "done" });
 });
@@ -127,11 +127,11 @@
     assert.deepEqual(this.ended, []);
 });
 
-Then("the machine can be ordered", function(this: World) {
+Then("another order for the machine may be sent", function(this: World) {
     assert.equal(this.view.isOrderable("machine-1"), true);
 });
 
-Then("the machine cannot be ordered", function(this: World) {
+Then("no other order for the machine may be sent", function(this: World) {
     assert.equal(this.view.isOrderable("machine-1"), false);
 });
 
