--- a/src/runs/applyEnd.ts
+++ b/src/runs/applyEnd.ts
@@ -16,7 +16,7 @@
 
 /** What applying the end of a run depends on. */
 export interface EndContext {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     /** Current configuration; `undefined` until one has been read. */
     readonly policy: Policy | undefined;
     readonly estimates: DurationEstimates;
@@ -33,13 +33,13 @@
 
 /** Applies the end of a run as listed by a worker; returns the entry of the submission that it changed, if any. */
 export function applyEnd(worker: Worker, end: ListedEnd, context: EndContext): SubmissionEntry | undefined {
-    const task = findTask(context.board, end.task);
+    const task = findTask(context.state, end.task);
     if (task === undefined) {
         return undefined;
     }
     const run = task.runs.find((known) => known.number === end.run && known.worker === worker);
     if (run !== undefined) {
-        removeRun(context.board, run, context.nowMs);
+        removeRun(context.state, run, context.nowMs);
     }
     if (end.checkpoint !== "" && task.phase === "waiting") {
         task.checkpoint = end.checkpoint;
@@ -62,6 +62,8 @@
 
 function applyDone(worker: Worker, task: Task, run: Run | undefined, context: EndContext): void {
     recordSuccess(worker, context.nowMs);
+    // A run that resumed from a checkpoint took less time than the whole task. Its checkpoint can't be told from one
+    // that the run saved itself, so durations are recorded only for runs without any.
     if (run !== undefined && run.checkpoint === "") {
         context.estimates.recordDuration(
             task.entry.submission.route,
--- a/src/scheduler/measureDemand.ts
+++ b/src/scheduler/measureDemand.ts
@@ -17,7 +17,7 @@
 import { sumPoolUsage } from "./sumPoolUsage";
 
 export interface DemandOptions {
-    readonly board: SchedulerState;
+    readonly state: SchedulerState;
     readonly policy: Policy;
     readonly estimates: DurationEstimates;
     readonly meter: DemandMeter;
@@ -35,8 +35,8 @@
 const maxCheckedSubmissions = 20;
 
 /**
- * Number of submissions for whose first tasks a pool with low load keeps capacity. A burst of short submissions begins
- * with several of them within a tenth of a second, and they are late if they wait for a machine to join.
+ * Number of submissions for whose first tasks a pool with low load keeps capacity. A busy period begins with several
+ * short submissions within a tenth of a second, and they are late if they wait for a machine to join.
  */
 const reservedSubmissions = 3;
 
@@ -56,7 +56,7 @@
 
 /** Measures the demand and the capacity of each pool. */
 export function measureDemand(opts: DemandOptions): readonly PoolDemand[] {
-    const pools = groupByPool(opts.board);
+    const pools = groupByPool(opts.state);
     const open = sumOpenWork(opts);
     return [...opts.policy.pools.values()].map(({ name, isStandby }) =>
         measurePool(name, isStandby, pools.get(name) ?? [], open.get(name) ?? createOpenWork(), opts)
@@ -84,8 +84,8 @@
     });
     const neededCpuMillis = shortTaskCpuMillis + open.waitingLongRunningCpuMillis + replacementCpuMillis(workers);
     // With a shortage this large, a machine is moved to the pool in any case. If no worker of the pool takes work, the
-    // size of its machines is unknown. When such a pool counted as short, a small task waited eleven seconds and no
-    // machine came.
+    // size of its machines is unknown. If such a pool counted as short, its tasks would not be checked for being
+    // unplaceable, and a small task could wait for eleven seconds without a machine on its way.
     const isShort = usage.workers > 0
         && neededCpuMillis - availableCpuMillis >= minMissingShare * usage.largestCpuMillis;
     const checkedSubmissions = isShort ? [] : open.waitingSubmissions.slice(0, maxCheckedSubmissions);
@@ -100,9 +100,7 @@
         comingCpuMillis,
         reserveCpuMillis: reservedSubmissions * meter.meanSubmissionCpuMillis(pool),
         machineCount:
-            workers.filter(({ isRegistered: isListed, isReserved, isEvacuated }) =>
-                isListed && !isReserved && !isEvacuated
-            )
+            workers.filter(({ isRegistered, isReserved, isEvacuated }) => isRegistered && !isReserved && !isEvacuated)
                 .length,
     };
 }
@@ -113,7 +111,7 @@
 
 function sumOpenWork(opts: DemandOptions): ReadonlyMap<string, OpenWork> {
     const pools = new Map<string, OpenWork>();
-    for (const entry of opts.board.submissions.values()) {
+    for (const entry of opts.state.submissions.values()) {
         if (entry.finalState === undefined) {
             const { service } = queueOf(opts.policy, entry.submission);
             const open = pools.get(service) ?? createOpenWork();
@@ -135,20 +133,20 @@
         open.waitingLongRunningCpuMillis += cpuMillis;
         return;
     }
-    const outlook = estimateRemaining(entry, opts.estimates, opts.nowMs);
-    const deadlineAgeMs = targetAgeMs(queueOf(opts.policy, submission), outlook);
-    open.cpuMillis += desiredCpuMillis(outlook, deadlineAgeMs, opts.timeOfDayMs - submission.acceptedAtMs);
-    open.coreMs += outlook.workCoreMs;
+    const remaining = estimateRemaining(entry, opts.estimates, opts.nowMs);
+    const deadlineAgeMs = targetAgeMs(queueOf(opts.policy, submission), remaining);
+    open.cpuMillis += desiredCpuMillis(remaining, deadlineAgeMs, opts.timeOfDayMs - submission.acceptedAtMs);
+    open.coreMs += remaining.workCoreMs;
 }
 
 /**
  * Returns the cores of long-running tasks on workers that are draining or being emptied, in thousandths. These tasks
  * will be restarted in their pool. If the pool's only machine is due for maintenance, no other machine can take them.
- * Without a second machine on its way, the maintenance came late or the tasks were unavailable for its whole duration.
+ * Without a second machine on its way, the maintenance would be late or the tasks unavailable for its whole duration.
  */
 function replacementCpuMillis(workers: readonly Worker[]): number {
-    const leavingWorkers = workers.filter(({ isRegistered: isListed, isDraining, isReserved }) =>
-        isListed && (isDraining || isReserved)
+    const leavingWorkers = workers.filter(({ isRegistered, isDraining, isReserved }) =>
+        isRegistered && (isDraining || isReserved)
     );
     return sumPoolUsage(leavingWorkers).longRunningCpuMillis;
 }
