--- a/src/machines/chooseMoves.ts
+++ b/src/machines/chooseMoves.ts
@@ -68,7 +68,10 @@
 /** Machines that each pool keeps, so that its first task doesn't wait for a machine to join. */
 const minMachinesPerPool = 1;
 
-/** Processors that a pool lacks (above 0) or has to spare (below 0), in thousandths. */
+/**
+ * Processors that a pool lacks (above 0) or has to spare (below 0), in thousandths. Work that fits on no single worker is a
+ * shortage even if the pool's total capacity suffices.
+ */
 export function findShortage(pool: PoolDemand): number {
     const missing = pool.neededCpuMillis * fragmentationFactor - pool.capacityCpuMillis;
     return Math.max(missing, pool.unplaceableCpuMillis > 0 ? pool.unplaceableCpuMillis : missing)
--- a/src/machines/createDemandMeter.ts
+++ b/src/machines/createDemandMeter.ts
@@ -35,10 +35,11 @@
     const meanCpuMillis = new Map<string, number>();
 
     return {
-        recordArrival(pool, { cpuMillis, minDurationMs: durationMs }, nowMs, ageMs = 0) {
+        recordArrival(pool, { cpuMillis, minDurationMs }, nowMs, ageMs = 0) {
             // A new leader reads all open work at once. If that counted as arriving now, a pool whose busy period is over
             // would look as if its busy period had just begun.
-            const arrival = { atMs: nowMs - ageMs, cpuMillis: cpuMillis * Math.min(1, durationMs / joinMs) };
+            // Work that runs for less than `joinMs` keeps its processors busy for only that part of the window.
+            const arrival = { atMs: nowMs - ageMs, cpuMillis: cpuMillis * Math.min(1, minDurationMs / joinMs) };
             const recent = (arrivals.get(pool) ?? []).filter(({ atMs }) => atMs > nowMs - joinMs);
             arrivals.set(pool, [...recent, arrival]);
             const previousMean = meanCpuMillis.get(pool) ?? cpuMillis;
--- a/src/machines/estimateArrivals.ts
+++ b/src/machines/estimateArrivals.ts
@@ -60,7 +60,10 @@
     return arrivals.filter(({ atMs }) => atMs > fromMs);
 }
 
-/** The part of the difference of two random counts that chance does not explain (James-Stein shrinkage). */
+/**
+ * The part of the difference of two random counts that chance does not explain (James-Stein shrinkage). The variance of the
+ * difference is the sum of the two counts.
+ */
 function shrinkDifference(difference: number, variance: number): number {
     return difference === 0 ? 0 : difference * Math.max(0, 1 - variance / difference ** 2);
 }
--- a/src/machines/test/machines.steps.ts
+++ b/src/machines/test/machines.steps.ts
@@ -56,7 +56,7 @@
 }
 
 function addIdle(world: World, count: number, cores: number, pool: string): void {
-    for (let at = 0; at < count; at++) {
+    for (let index = 0; index < count; index++) {
         world.idle.push({
             id: `machine-${world.idle.length}`,
             pool,
@@ -176,7 +176,7 @@
 Given(
     "{int} submissions of 5 cores are read that arrived {int} ms ago",
     function(this: World, count: number, ageMs: number) {
-        for (let at = 0; at < count; at++) {
+        for (let index = 0; index < count; index++) {
             this.meter.recordArrival(
                 "stalls",
                 { cpuMillis: submissionCpuMillis, minDurationMs: joinMs },
--- a/src/members/applyListing.ts
+++ b/src/members/applyListing.ts
@@ -15,6 +15,6 @@
     const marked = remaining.map((member) =>
         !member.listed && listing.has(member.instance) ? { ...member, listed: true } : member
     );
-    const isUnchanged = marked.length === members.length && marked.every((member, at) => member === members[at]);
+    const isUnchanged = marked.length === members.length && marked.every((member, index) => member === members[index]);
     return isUnchanged ? members : marked;
 }
--- a/src/members/createInstanceList.ts
+++ b/src/members/createInstanceList.ts
@@ -82,6 +82,7 @@
         }
     }
 
+    /** Reads the list when it is due. Each rank waits half an interval longer, and reads if the ranks before it did not. */
     async function readIfDue(): Promise<void> {
         const dueMs = intervalMs() * (1 + rank() / 2);
         if (isReading || listing !== undefined && Date.now() - requestedAtMs < dueMs) {
--- a/src/members/createMembers.ts
+++ b/src/members/createMembers.ts
@@ -161,6 +161,7 @@
             absences.set(boot, listed && !listing.has(instance) ? (absences.get(boot) ?? 0) + 1 : 0);
         }
         [...absences.keys()].filter(isAbsent).forEach((boot) => absences.delete(boot));
+        // A single list may lack a running instance, so two in a row are required.
         const absent = new Set([...absences].filter(([, times]) => times >= 2).map(([boot]) => boot));
         if (applyListing(record.members, listing, absent) !== record.members) {
             await updateRecord((current) => applyListing(current, listing, absent));
--- a/src/members/members.ts
+++ b/src/members/members.ts
@@ -20,7 +20,7 @@
     /**
      * Returns the given boots that are not in the record, after a write that proves the record to be the newest. These
      * boots have ended, provided that each one entered the record before it wrote the value that names it. This covers
-     * boots that had ended before this entry started: `hasEnded` stays false for them. Costs one read and one write of
+     * boots that had ended before this entry started: `hasEnded` stays false for them. Makes one read and one write of
      * the platform. Returns `undefined` if the platform did not answer or another entry wrote in between.
      */
     proveEnded(boots: readonly string[]): Promise<ReadonlySet<string> | undefined>;
--- a/src/members/test/members.feature
+++ b/src/members/test/members.feature
@@ -1,8 +1,9 @@
 Feature: Cluster membership record
 
     Scenario: an unreachable boot has not ended
-        Guards against a team that runs above its limit. An entry is frozen for an hour, or its links are cut. If it
-        counted as ended, its slices of the limits would be given to others, while it may resume and use them.
+        Guards against a team that runs more than its limit allows. An entry is frozen for an hour, or its links are
+        cut. If it counted as ended, its slices of the limits would be given to others, while it may resume and use
+        them.
         Given entries "a" and "b" are recorded and listed
         When "b" is frozen for 3600 s
         Then "b" has not ended according to "a"
@@ -49,7 +50,7 @@
         Guards against an entry that loses its slices while it serves. The platform's operators restore a backup from
         before the entry started, so its boot is not in the older record.
         Given entries "a" and "b" are recorded and listed
-        When entry "c" starts and the platform is restored to the record before
+        When entry "c" starts and the platform is restored to the previous record
         And 120 s pass
         Then "c" has not ended according to "a"
         And the platform's record holds "a, b, c"
--- a/src/members/test/members.steps.ts
+++ b/src/members/test/members.steps.ts
@@ -65,11 +65,11 @@
 });
 
 Given("{int} entries in {int} zones", async function(this: World, count: number, zones: number) {
-    for (let at = 0; at < count; at++) {
-        this.platform.instances.set(`entry-${at}`, "live");
+    for (let index = 0; index < count; index++) {
+        this.platform.instances.set(`entry-${index}`, "live");
     }
-    for (let at = 0; at < count; at++) {
-        await startEntry(this, `entry-${at}`, 1, `zone-${at % zones}`);
+    for (let index = 0; index < count; index++) {
+        await startEntry(this, `entry-${index}`, 1, `zone-${index % zones}`);
     }
     this.platform.calls.list = 0;
 });
@@ -111,7 +111,7 @@
 });
 
 When(
-    "entry {string} starts and the platform is restored to the record before",
+    "entry {string} starts and the platform is restored to the previous record",
     async function(this: World, name: string) {
         const before = this.platform.values.get(key)!;
         await startEntry(this, name);
@@ -136,20 +136,23 @@
     await this.clock.tickAsync(seconds * 1000);
 });
 
-Then("{string} has ended according to {string}", function(this: World, ended: string, at: string) {
-    assert.equal(findEntry(this, at).members.hasEnded(findEntry(this, ended).boot), true);
+Then("{string} has ended according to {string}", function(this: World, ended: string, observer: string) {
+    assert.equal(findEntry(this, observer).members.hasEnded(findEntry(this, ended).boot), true);
 });
 
-Then("{string} has not ended according to {string}", function(this: World, ended: string, at: string) {
-    const { members } = findEntry(this, at);
+Then("{string} has not ended according to {string}", function(this: World, ended: string, observer: string) {
+    const { members } = findEntry(this, observer);
     assert.equal(members.hasEnded(findEntry(this, ended).boot), false);
     assert.ok(members.recorded()?.some(({ instance }) => instance === ended));
 });
 
-Then("the earlier boot of {string} has ended according to {string}", function(this: World, name: string, at: string) {
-    assert.equal(findEntry(this, at).members.hasEnded(`${name}-1`), true);
-    assert.equal(findEntry(this, at).members.hasEnded(`${name}-2`), false);
-});
+Then(
+    "the earlier boot of {string} has ended according to {string}",
+    function(this: World, name: string, observer: string) {
+        assert.equal(findEntry(this, observer).members.hasEnded(`${name}-1`), true);
+        assert.equal(findEntry(this, observer).members.hasEnded(`${name}-2`), false);
+    },
+);
 
 Then("the platform's record holds {string}", function(this: World, names: string) {
     const { members } = JSON.parse(this.platform.values.get(key)!.text) as { members: { instance: string; }[]; };
@@ -158,8 +161,8 @@
 
 Then(
     "{string} can prove that {string} has ended, and not that {string} has",
-    async function(this: World, at: string, a: string, b: string) {
-        const proof = findEntry(this, at).members.proveEnded([`${a}-1`, `${b}-1`]);
+    async function(this: World, observer: string, a: string, b: string) {
+        const proof = findEntry(this, observer).members.proveEnded([`${a}-1`, `${b}-1`]);
         await this.clock.tickAsync(1000);
         assert.deepEqual([...await proof ?? []], [`${a}-1`]);
     },
--- a/src/peers/chooseLinks.ts
+++ b/src/peers/chooseLinks.ts
@@ -23,8 +23,8 @@
  * positions ahead. Boots are random, so the linked entries lie in all zones, and any two entries are connected over a
  * few links.
  */
-export function chooseLinks({ self, others, leader: owner }: ChooseLinksOptions): readonly Peer[] {
-    if (others.length <= fullMeshPeers || owner === self) {
+export function chooseLinks({ self, others, leader }: ChooseLinksOptions): readonly Peer[] {
+    if (others.length <= fullMeshPeers || leader === self) {
         return others;
     }
     const ring = [...others].sort((a, b) => a.boot < b.boot ? -1 : 1);
@@ -36,6 +36,6 @@
             chosen.add(peer);
         }
     }
-    others.filter(({ boot }) => boot === owner).forEach((peer) => chosen.add(peer));
+    others.filter(({ boot }) => boot === leader).forEach((peer) => chosen.add(peer));
     return [...chosen];
 }
--- a/src/peers/createLink.ts
+++ b/src/peers/createLink.ts
@@ -21,7 +21,7 @@
     readonly socket: WebSocket;
     /** `undefined` until the peer's hello frame. */
     peer: Peer | undefined;
-    /** Times in milliseconds since the epoch. */
+    /** This time and the two below are in milliseconds since the epoch. */
     readonly openedAtMs: number;
     lastReceivedAtMs: number;
     lastSentAtMs: number;
--- a/src/peers/createPeers.ts
+++ b/src/peers/createPeers.ts
@@ -97,17 +97,17 @@
     function removeLink(link: Link): void {
         links.delete(link);
         dialed.delete(link);
-        for (const [id, entry] of pendingRequests) {
-            if (entry.link === link) {
-                settle(id, Left({ kind: "unknown", detail: "the link was closed" }));
+        for (const [id, pending] of pendingRequests) {
+            if (pending.link === link) {
+                settle(id, Left({ kind: "unknown", detail: "the link broke" }));
             }
         }
     }
 
     function settle(id: number, result: Either<PeerFailure, unknown>): void {
-        const entry = pendingRequests.get(id);
+        const pending = pendingRequests.get(id);
         pendingRequests.delete(id);
-        entry?.settle(result);
+        pending?.settle(result);
     }
 
     function handleFrame(link: Link, frame: Frame): void {
@@ -165,7 +165,7 @@
     async function handleRequest(link: Link, { id, topic, body }: Extract<Frame, { kind: "request"; }>): Promise<void> {
         const handler = requestHandlers.get(topic);
         if (handler === undefined || link.peer === undefined) {
-            link.write({ kind: "failure", id, detail: `no handler for topic ${topic.slice(0, 64)}` });
+            link.write({ kind: "failure", id, detail: `there is no handler of ${topic.slice(0, 64)}` });
             return;
         }
         try {
@@ -192,29 +192,29 @@
     }
 
     function tick(): void {
-        const now = Date.now();
+        const nowMs = Date.now();
         for (const link of links) {
-            const isHelloOverdue = link.peer === undefined && now - link.openedAtMs > opts.silenceMs;
-            if (isHelloOverdue || now - link.lastReceivedAtMs > opts.silenceMs * 2) {
+            const isHelloOverdue = link.peer === undefined && nowMs - link.openedAtMs > opts.silenceMs;
+            if (isHelloOverdue || nowMs - link.lastReceivedAtMs > opts.silenceMs * 2) {
                 link.socket.terminate();
             }
-            if (now - link.lastSentAtMs >= opts.heartbeatMs / 2) {
+            if (nowMs - link.lastSentAtMs >= opts.heartbeatMs / 2) {
                 link.write({ kind: "heartbeat" });
             }
         }
-        closeUnwanted(now);
-        dialMissing(now);
+        closeUnwanted(nowMs);
+        dialMissing(nowMs);
     }
 
     /** Closes unwanted links. A peer that still wants the link dials a new one. */
-    function closeUnwanted(now: number): void {
+    function closeUnwanted(nowMs: number): void {
         for (const [link, dialedLink] of dialed) {
             dialedLink.unwantedSinceMs = addresses.includes(dialedLink.url)
                 ? undefined
-                : dialedLink.unwantedSinceMs ?? now;
+                : dialedLink.unwantedSinceMs ?? nowMs;
             if (
                 dialedLink.unwantedSinceMs !== undefined
-                && now - dialedLink.unwantedSinceMs > unwantedHeartbeats * opts.heartbeatMs
+                && nowMs - dialedLink.unwantedSinceMs > unwantedHeartbeats * opts.heartbeatMs
             ) {
                 link.socket.close(1000);
             }
@@ -226,16 +226,16 @@
      * end up with two links. The other one dials after a delay: the first one may not know its address yet, or may be
      * unable to connect in its direction.
      */
-    function dialMissing(now: number): void {
+    function dialMissing(nowMs: number): void {
         const reached = new Set([...links].map((link) => link.peer?.peerUrl));
         for (const url of addresses) {
             if (url === self.peerUrl || dialing.has(url) || reached.has(url)) {
                 unreachedSinceMs.delete(url);
                 continue;
             }
-            const since = unreachedSinceMs.get(url) ?? now;
-            unreachedSinceMs.set(url, since);
-            if (self.peerUrl < url || now - since >= opts.silenceMs / 2) {
+            const sinceMs = unreachedSinceMs.get(url) ?? nowMs;
+            unreachedSinceMs.set(url, sinceMs);
+            if (self.peerUrl < url || nowMs - sinceMs >= opts.silenceMs / 2) {
                 dial(url);
             }
         }
@@ -286,7 +286,7 @@
             const id = nextId++;
             const isFull = pendingRequests.size >= maxPendingRequests;
             if (link === undefined || isFull || !link.write({ kind: "request", id, topic, body })) {
-                const detail = isFull ? "too many requests are waiting for answers" : "there is no link";
+                const detail = isFull ? "too many requests wait for answers" : "there is no link";
                 return Promise.resolve(Left({ kind: "notSent", detail }));
             }
             return new Promise((resolve) => {
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -33,7 +33,7 @@
 
 export interface Peers {
     readonly self: Peer;
-    /** Peers from which something was received recently on a link. */
+    /** Peers with a link on which a frame was received within the last `silenceMs`, an option of `createPeers`. */
     connected(): readonly Peer[];
     /** Sends a message that has no answer; returns false if it could not be sent. */
     send(boot: string, topic: string, body: unknown): boolean;
--- a/src/peers/test/peers.steps.ts
+++ b/src/peers/test/peers.steps.ts
@@ -14,6 +14,7 @@
     entries: Peers[];
     answer: Either<PeerFailure, unknown>;
     waitedMs: number;
+    acceptedMb: number;
     refusedSends: number;
     fleet: readonly Peer[];
     links: ReadonlyMap<string, readonly string[]>;
@@ -165,7 +166,7 @@
     for (let sent = 0; sent < megabytes * 2; sent++) {
         this.refusedSends += this.entries[0]!.send("d", "bulk", body) ? 0 : 1;
     }
-    this.waitedMs = (this.entries[0]!.traffic?.().sentBytes ?? Infinity) / 1024 / 1024;
+    this.acceptedMb = (this.entries[0]!.traffic?.().sentBytes ?? Infinity) / 1024 / 1024;
     frozen.terminate();
 });
 
@@ -186,7 +187,7 @@
 Then(
     "less than {int} MB are accepted for sending, and some sends are refused",
     function(this: World, megabytes: number) {
-        assert.ok(this.waitedMs < megabytes, `${this.waitedMs} MB were accepted`);
+        assert.ok(this.acceptedMb < megabytes, `${this.acceptedMb} MB were accepted`);
         assert.ok(this.refusedSends > 0);
     },
 );
@@ -222,17 +223,17 @@
     const random = createRandom(count);
     const names = Array.from({ length: count }, () => random.int(0, 2 ** 30).toString(16));
     this.fleet = names.map((boot) => ({ boot, instance: boot, region: "r", zone: "z", peerUrl: `ws://${boot}` }));
-    const owner = names[0];
+    const leader = names[0];
     this.links = new Map(names.map((self) => {
         const others = this.fleet.filter(({ boot }) => boot !== self);
-        return [self, chooseLinks({ self, others, leader: owner }).map(({ boot }) => boot)];
+        return [self, chooseLinks({ self, others, leader }).map(({ boot }) => boot)];
     }));
 });
 
 Then("each entry links to the leader, and the leader to all", function(this: World) {
-    const [owner, ...others] = this.fleet.map(({ boot }) => boot);
-    assert.equal(this.links.get(owner ?? "")?.length, others.length);
-    others.forEach((boot) => assert.ok(this.links.get(boot)?.includes(owner ?? "")));
+    const [leader, ...others] = this.fleet.map(({ boot }) => boot);
+    assert.equal(this.links.get(leader ?? "")?.length, others.length);
+    others.forEach((boot) => assert.ok(this.links.get(boot)?.includes(leader ?? "")));
 });
 
 Then("each other entry makes at most {int} links", function(this: World, most: number) {
--- a/src/platform/countCalls.ts
+++ b/src/platform/countCalls.ts
@@ -5,8 +5,8 @@
 export type CallListener = (call: "read" | "write" | "watch" | "list", result: string) => void;
 
 /**
- * Wraps a platform so that each call is reported to the listener. The platform bills each call, also a watch that
- * waits.
+ * Wraps a platform so that each call is reported to the listener. Each call counts against the platform's limit of
+ * calls, also a watch that waits.
  */
 export function countCalls(platform: Platform, listener: CallListener): Platform {
     async function reportCall<L extends { readonly kind: string; }, R>(
--- a/src/platform/createKeyWatcher.ts
+++ b/src/platform/createKeyWatcher.ts
@@ -45,6 +45,7 @@
     const known = new Map<string, number>();
     const listeners = new Map<string, StoredListener[]>();
     const rollbackListeners = new Map<string, StoredListener>();
+    /** Number of consecutive reads of a key with a lower revision than the known one. */
     const lowerReads = new Map<string, number>();
     let lastAnsweredAtMs: number | undefined;
     let verifyTimer: NodeJS.Timeout | undefined;
--- a/src/platform/platform.ts
+++ b/src/platform/platform.ts
@@ -28,7 +28,7 @@
 
 export type InstanceStatus = "live" | "leaving";
 
-/** One item of the platform's instance list, which lags. */
+/** One item of the platform's instance list, which lags behind the actual state. */
 export interface InstanceListing {
     readonly instance: string;
     readonly status: InstanceStatus;
@@ -37,15 +37,15 @@
 /** Keys to watch, each with its latest known revision; 0 if none is known. */
 export type KnownRevisions = ReadonlyMap<string, number>;
 
-/** Client of the platform. Each call is billed as one call by the platform. */
+/** Client of the platform. Each call counts against the platform's limit of calls. */
 export interface Platform {
     /** Returns `undefined` if the key has never been written. */
     read(key: string): Promise<Either<PlatformFailure, StoredValue | undefined>>;
     /** Writes only if the key is still at `expectedRevision` (0: never written); returns the new revision. */
     compareAndSwap(key: string, expectedRevision: number, text: string): Promise<Either<SwapFailure, number>>;
     /**
-     * Removes a key. Only for keys that are always written with the same text, such as snapshots: a delayed write to
-     * any other key could succeed as if the key had never existed.
+     * Removes a key. Only for keys that are always written with the same text, such as snapshots. A removed key counts as
+     * never written, so a delayed write to any other key could succeed after the removal and restore an outdated text.
      */
     remove(key: string): Promise<Either<PlatformFailure, void>>;
     /** Waits until a key passes its known revision, up to `waitMs`; returns the changed keys only. */
--- a/src/platform/test/platform.feature
+++ b/src/platform/test/platform.feature
@@ -53,9 +53,9 @@
         Then "b" lists nothing
 
     Scenario: an instance that cannot renew its lease stops before the lease expires
-        Guards against teams that run above their limit. A zone is cut off from the store for longer than the lease.
-        Other entries take over the instance's share of the limits when the lease expires, so it must not serve any
-        longer.
+        Guards against teams that run more than their limit allows. A zone is cut off from the store for longer than
+        the lease of 600 s. Other entries take over the instance's share of the limits when the lease expires, so it
+        must not serve any longer, and stops 5 s before.
 
         When instance "entry-1" registers
         And the store does not answer "entry-1"
--- a/src/platform/test/platform.steps.ts
+++ b/src/platform/test/platform.steps.ts
@@ -48,8 +48,8 @@
     return answer;
 }
 
-async function write(world: World, client: string, text: string, revision: number, at = key): Promise<void> {
-    world.written = await settle(world, connect(world, client).compareAndSwap(at, revision, text));
+async function write(world: World, client: string, text: string, revision: number, targetKey = key): Promise<void> {
+    world.written = await settle(world, connect(world, client).compareAndSwap(targetKey, revision, text));
 }
 
 When(
@@ -67,13 +67,16 @@
     return write(this, client, text, 0);
 });
 
-When("{string} writes {string} to {string}", function(this: World, client: string, text: string, at: string) {
-    return write(this, client, text, 0, at);
+When("{string} writes {string} to {string}", function(this: World, client: string, text: string, targetKey: string) {
+    return write(this, client, text, 0, targetKey);
 });
 
-Given("{string} has written {string} to {string}", function(this: World, client: string, text: string, at: string) {
-    return write(this, client, text, 0, at);
-});
+Given(
+    "{string} has written {string} to {string}",
+    function(this: World, client: string, text: string, targetKey: string) {
+        return write(this, client, text, 0, targetKey);
+    },
+);
 
 Given("the store loses answers to {string}", function(this: World, client: string) {
     this.store.setFault(client, "answerLost");
@@ -114,7 +117,7 @@
     for (let round = 0; round < 5; round++) {
         const changes = (await settle(world, platform.watch(world.known, 500))).orDefault(new Map());
         if (changes.size > 0) {
-            changes.forEach(({ revision }, at) => world.known.set(at, revision));
+            changes.forEach(({ revision }, changedKey) => world.known.set(changedKey, revision));
             return changes;
         }
     }
@@ -124,22 +127,25 @@
 Given(
     "{string} watches {string} and {string}",
     async function(this: World, client: string, first: string, second: string) {
-        [first, second].forEach((at) => this.known.set(at, 0));
+        [first, second].forEach((watchedKey) => this.known.set(watchedKey, 0));
         await settle(this, connect(this, client).watch(this.known, 0));
     },
 );
 
-Then("{string} is notified of {string} only", async function(this: World, client: string, at: string) {
-    assert.deepEqual([...(await watch(this, client)).keys()], [at]);
+Then("{string} is notified of {string} only", async function(this: World, client: string, watchedKey: string) {
+    assert.deepEqual([...(await watch(this, client)).keys()], [watchedKey]);
 });
 
 Given("{string} has been notified of it", async function(this: World, client: string) {
     assert.equal((await watch(this, client)).size, 1);
 });
 
-When("{string} watches again from an older revision of {string}", function(this: World, _client: string, at: string) {
-    this.known.set(at, 0);
-});
+When(
+    "{string} watches again from an older revision of {string}",
+    function(this: World, _client: string, watchedKey: string) {
+        this.known.set(watchedKey, 0);
+    },
+);
 
 When("instance {string} registers", async function(this: World, instance: string) {
     const nowMs = () => performance.now();
--- a/src/policy/createPolicyWatcher.ts
+++ b/src/policy/createPolicyWatcher.ts
@@ -43,8 +43,8 @@
 /**
  * How long one watch waits, in milliseconds. The age of the configuration is counted from the time at which the last
  * answered watch was sent, so this bounds the age while the store answers. A withdrawn key has to stop working within
- * 5,000 ms even on an entry that is cut off, and such an entry stops taking requests with keys soon after. Costs 0.7 calls
- * a second for each entry.
+ * 5,000 ms even on an entry that is cut off, and such an entry stops taking requests with keys soon after. Each entry
+ * makes 0.7 calls a second, which count against the platform's limit of calls.
  */
 const watchWaitMs = 1500;
 
--- a/src/policy/findQueue.ts
+++ b/src/policy/findQueue.ts
@@ -4,9 +4,9 @@
 export function findQueue(policy: Policy, host: string, path: string): QueueConfig | undefined {
     const hostName = host.replace(/:\d+$/, "").toLowerCase();
     return policy.queues
-        .filter((route) => route.host.toLowerCase() === hostName && path.startsWith(route.pathPrefix))
+        .filter((queue) => queue.host.toLowerCase() === hostName && path.startsWith(queue.pathPrefix))
         .reduce<QueueConfig | undefined>(
-            (best, route) => best === undefined || route.pathPrefix.length > best.pathPrefix.length ? route : best,
+            (best, queue) => best === undefined || queue.pathPrefix.length > best.pathPrefix.length ? queue : best,
             undefined,
         );
 }
--- a/src/policy/test/policy.steps.ts
+++ b/src/policy/test/policy.steps.ts
@@ -8,7 +8,7 @@
 interface World {
     clock: Clock;
     store: FakeStore;
-    feed: PolicyWatcher | undefined;
+    watcher: PolicyWatcher | undefined;
     log: LogEvent[];
 }
 
@@ -30,7 +30,7 @@
 });
 
 After(function(this: World) {
-    this.feed?.stop();
+    this.watcher?.stop();
     this.clock.uninstall();
 });
 
@@ -42,13 +42,13 @@
 }
 
 Given("an entry that watches the operators' instructions", async function(this: World) {
-    this.feed = createPolicyWatcher({
+    this.watcher = createPolicyWatcher({
         store: this.store.connect(entryName),
         decoder,
         clocks: { steadyMs: () => performance.now(), suspendAwareMs: () => performance.now() },
         report: (event) => this.log.push(event),
     });
-    this.feed.start();
+    this.watcher.start();
     await pass(this, watchDeliveryMs);
 });
 
@@ -95,7 +95,7 @@
 );
 
 Then("{string} is/are under evacuation", function(this: World, expected: string) {
-    assert.equal([...this.feed?.evacuatedZones() ?? []].sort().join(", "), expected);
+    assert.equal([...this.watcher?.evacuatedZones() ?? []].sort().join(", "), expected);
 });
 
 Then("the log reports {int} evacuations begun and {int} ended", function(this: World, begun: number, ended: number) {
--- a/src/store/createPrefixWatcher.ts
+++ b/src/store/createPrefixWatcher.ts
@@ -34,7 +34,10 @@
     stop(): void;
 }
 
-/** Retry delay after a call without an answer, in milliseconds. The platform charges for refused calls too. */
+/**
+ * Retry delay after a call without an answer, in milliseconds. Refused calls count against the platform's limit of calls
+ * too.
+ */
 const retryMs = 200;
 
 /**
--- a/src/store/store.ts
+++ b/src/store/store.ts
@@ -49,7 +49,7 @@
 export interface Put {
     readonly key: string;
     readonly text: string;
-    /** The key is deleted when this lease ends; 0 for no lease. */
+    /** The key is deleted when this lease ends; 0 or absent for no lease. */
     readonly lease?: number;
 }
 
@@ -76,7 +76,7 @@
 /** Most conditions, puts and deletes in one commit, counted together (limit of the platform's store). */
 export const maxCommitOperations = 32;
 
-/** Client of the platform's store. Each call is billed as one call by the platform. */
+/** Client of the platform's store. Each call counts against the platform's limit of calls. */
 export interface Store {
     read(key: string): Promise<ReadResult>;
     /** Reads all items under a prefix, page by page. */
--- a/src/store/test/store.steps.ts
+++ b/src/store/test/store.steps.ts
@@ -163,7 +163,7 @@
     "{int} reads of {string} take at most {int} ms",
     async function(this: World, count: number, name: string, ms: number) {
         let totalMs = 0;
-        for (let at = 0; at < count; at++) {
+        for (let index = 0; index < count; index++) {
             totalMs += (await finish(this, findEntry(this, name).read("k"))).tookMs;
         }
         assert.ok(totalMs <= ms, `${totalMs} ms`);
--- a/src/submissions/createRecordWriter.ts
+++ b/src/submissions/createRecordWriter.ts
@@ -78,7 +78,7 @@
     function abandon(pending: PendingWrite): void {
         pending.settle({
             kind: pending.mayBeWritten ? "unknown" : "notWritten",
-            detail: "the store did not answer in time",
+            detail: "the store gave no answer in time",
         });
     }
 
--- a/src/submissions/createSubmissionApi.ts
+++ b/src/submissions/createSubmissionApi.ts
@@ -65,39 +65,39 @@
      * would accept work under it. It answers "unavailable" instead of rejecting the key, which may still be valid.
      */
     function authorize(
-        call: RequestContext,
-    ): { policy: Policy; route: QueueConfig; tenant: string | undefined; } | Refusal {
+        context: RequestContext,
+    ): { policy: Policy; queue: QueueConfig; tenant: string | undefined; } | Refusal {
         const [policy, ageMs] = [policySource.policy(), policySource.ageMs()];
         if (policy === undefined || ageMs === undefined) {
             return {
                 kind: "notInForce",
-                detail: "no configuration has been received yet",
+                detail: "there is no configuration yet",
                 retryAfterMs: storeRetryAfterMs,
             };
         }
-        const route = findQueue(policy, call.host, call.path);
-        if (route === undefined) {
+        const queue = findQueue(policy, context.host, context.path);
+        if (queue === undefined) {
             return { kind: "noRoute" };
         }
-        if (route.isPublic) {
-            return { policy, route, tenant: undefined };
+        if (queue.isPublic) {
+            return { policy, queue, tenant: undefined };
         }
         if (ageMs > opts.revokeMs - revokeMarginMs) {
             const detail = `the configuration was last confirmed ${Math.round(ageMs)} ms ago`;
             return { kind: "notInForce", detail, retryAfterMs: storeRetryAfterMs };
         }
-        const tenant = call.key === undefined ? undefined : findTenant(policy, call.key);
-        return tenant === undefined ? { kind: "badKey" } : { policy, route, tenant: tenant.name };
+        const tenant = context.key === undefined ? undefined : findTenant(policy, context.key);
+        return tenant === undefined ? { kind: "badKey" } : { policy, queue, tenant: tenant.name };
     }
 
-    function deadlineOf(call: RequestContext, route: QueueConfig | undefined): number {
-        return steadyMs() + (call.timeoutMs ?? route?.timeoutMs ?? defaultTimeoutMs) - answerMarginMs;
+    function deadlineOf(context: RequestContext, queue: QueueConfig | undefined): number {
+        return steadyMs() + (context.timeoutMs ?? queue?.timeoutMs ?? defaultTimeoutMs) - answerMarginMs;
     }
 
-    async function storeSubmission(call: RequestContext, route: QueueConfig, submission: Submission) {
+    async function storeSubmission(context: RequestContext, queue: QueueConfig, submission: Submission) {
         const text = encodeRecord({ kind: "open", submission, isCancelled: false });
         const write = { key: submissionKey(submission.id), revision: 0, text };
-        const outcome = await writer.write(write, deadlineOf(call, route));
+        const outcome = await writer.write(write, deadlineOf(context, queue));
         switch (outcome.kind) {
             case "written":
                 return { kind: "accepted", isNew: true } as const;
@@ -115,15 +115,15 @@
     }
 
     /** Reads the record of a submission, with retries until the client's timeout. */
-    async function readRecord(call: RequestContext, id: string) {
-        const deadlineMs = deadlineOf(call, undefined);
+    async function readRecord(context: RequestContext, id: string) {
+        const deadlineMs = deadlineOf(context, undefined);
         for (;;) {
             const result = await store.read(submissionKey(id));
             switch (result.kind) {
                 case "found": {
                     const record = decodeRecord(result.item.text);
                     return record === undefined
-                        ? { kind: "unknown", detail: "the record can't be decoded" } as const
+                        ? { kind: "unknown", detail: "the record can't be read" } as const
                         : { kind: "record", record, revision: result.item.revision } as const;
                 }
                 case "missing":
@@ -137,8 +137,8 @@
         }
     }
 
-    async function writeCancel(call: RequestContext, id: string): Promise<CancelResult> {
-        const read = await readRecord(call, id);
+    async function writeCancel(context: RequestContext, id: string): Promise<CancelResult> {
+        const read = await readRecord(context, id);
         if (read.kind !== "record") {
             return read;
         }
@@ -147,13 +147,13 @@
         }
         const text = encodeRecord({ ...read.record, isCancelled: true });
         const write = { key: submissionKey(id), revision: read.revision, text };
-        const outcome = await writer.write(write, deadlineOf(call, undefined));
+        const outcome = await writer.write(write, deadlineOf(context, undefined));
         switch (outcome.kind) {
             case "written":
                 return { kind: "cancelled" };
             case "conflict":
                 // The leader has written its end, or another cancellation was first.
-                return writeCancel(call, id);
+                return writeCancel(context, id);
             case "notWritten":
                 return unavailable(outcome.detail);
             case "unknown":
@@ -162,14 +162,14 @@
     }
 
     function logRequest<R extends { kind: string; detail?: string; }>(
-        call: RequestContext,
+        context: RequestContext,
         action: string,
         id: string,
         result: R,
     ) {
         report({
             kind: "request",
-            requestId: call.requestId,
+            requestId: context.requestId,
             action,
             submission: id,
             outcome: result.kind,
@@ -181,51 +181,61 @@
     }
 
     return {
-        async accept(call, request) {
-            const authorized = authorize(call);
+        async accept(context, request) {
+            const authorized = authorize(context);
             if ("kind" in authorized) {
-                return logRequest(call, "accept", request.id, authorized);
+                return logRequest(context, "accept", request.id, authorized);
             }
             const problem = validateSubmission(request);
             if (problem !== undefined) {
-                return logRequest<AcceptResult>(call, "accept", request.id, { kind: "invalid", detail: problem });
+                return logRequest<AcceptResult>(context, "accept", request.id, { kind: "invalid", detail: problem });
             }
             if (policySource.isStoreLost()) {
                 // An attempt would keep the client waiting until its timeout, with an unknown outcome.
                 return logRequest<AcceptResult>(
-                    call,
+                    context,
                     "accept",
                     request.id,
                     unavailable("the store does not answer this entry"),
                 );
             }
             const submission = toSubmission(request, authorized);
-            return logRequest(call, "accept", request.id, await storeSubmission(call, authorized.route, submission));
+            return logRequest(
+                context,
+                "accept",
+                request.id,
+                await storeSubmission(context, authorized.queue, submission),
+            );
         },
-        async state(call, id) {
-            const authorized = authorize(call);
+        async state(context, id) {
+            const authorized = authorize(context);
             if ("kind" in authorized) {
-                return logRequest(call, "state", id, authorized);
+                return logRequest(context, "state", id, authorized);
             }
             const leaderState = await leaderQueries.findState(id);
             if (leaderState !== undefined) {
                 return { kind: "state", state: leaderState };
             }
-            const read = await readRecord(call, id);
+            const read = await readRecord(context, id);
             return read.kind === "record"
                 ? { kind: "state", state: stateOf(read.record) }
-                : logRequest(call, "state", id, read);
+                : logRequest(context, "state", id, read);
         },
-        async cancel(call, id) {
-            const authorized = authorize(call);
-            return logRequest(call, "cancel", id, "kind" in authorized ? authorized : await writeCancel(call, id));
+        async cancel(context, id) {
+            const authorized = authorize(context);
+            return logRequest(
+                context,
+                "cancel",
+                id,
+                "kind" in authorized ? authorized : await writeCancel(context, id),
+            );
         },
-        async count(call) {
-            const authorized = authorize(call);
+        async count(context) {
+            const authorized = authorize(context);
             if ("kind" in authorized) {
-                return logRequest(call, "count", "", authorized);
+                return logRequest(context, "count", "", authorized);
             }
-            const { name } = authorized.route;
+            const { name } = authorized.queue;
             const cached = counts.get(name);
             if (cached !== undefined && steadyMs() - cached.readAtMs < countReuseMs) {
                 return { kind: "count", pendingSubmissions: cached.count };
@@ -235,7 +245,7 @@
                 // A count from the store would need a read of all submissions. If every entry does that while there is no
                 // leader, the network links of small instances are saturated for seconds: leases are renewed too late, and
                 // the next leader is lost as well.
-                return logRequest<CountResult>(call, "count", "", {
+                return logRequest<CountResult>(context, "count", "", {
                     kind: "ownerUnavailable",
                     retryAfterMs: leaderRetryAfterMs,
                 });
@@ -252,9 +262,9 @@
 
 function toSubmission(
     request: SubmissionRequest,
-    { route, tenant }: { route: QueueConfig; tenant: string | undefined; },
+    { queue, tenant }: { queue: QueueConfig; tenant: string | undefined; },
 ): Submission {
-    return { ...request, tenant, route: route.name, service: route.service, acceptedAtMs: Date.now() };
+    return { ...request, tenant, route: queue.name, service: queue.service, acceptedAtMs: Date.now() };
 }
 
 /** State according to the record alone. Only the leader knows whether tasks have started. */
--- a/src/submissions/submission.ts
+++ b/src/submissions/submission.ts
@@ -30,7 +30,7 @@
     readonly targetLatencyMs: number;
     /** Filler: the tasks use processor time that other tasks leave idle, and reserve none. */
     readonly isFiller: boolean;
-    /** Most tasks of the step that the system itself may keep from running at the same time. */
+    /** Most tasks of the step that may be stopped by the system itself at the same time, for example to move them. */
     readonly maxUnavailable: number;
 }
 
--- a/src/submissions/submissionApi.ts
+++ b/src/submissions/submissionApi.ts
@@ -13,9 +13,9 @@
     readonly timeoutMs: number | undefined;
 }
 
-/** Why a request was not carried out. No task of a refused request ever runs, except with `unknown`. */
+/** Why a request was not carried out. No task of a refused request ever runs. `unknown` is the exception: its tasks may run. */
 export type Refusal =
-    /** There is no configuration yet, or it is too old to tell whether the key is still valid. */
+    /** No configuration is in force: there is none yet, or it is too old to tell whether the key is still valid. */
     | { readonly kind: "notInForce"; readonly detail: string; readonly retryAfterMs: number; }
     /** No queue has this host and path. */
     | { readonly kind: "noRoute"; }
@@ -39,12 +39,12 @@
 export type CancelResult = { readonly kind: "cancelled"; } | { readonly kind: "gone"; } | Refusal;
 export type CountResult = { readonly kind: "count"; readonly pendingSubmissions: number; } | Refusal;
 
-/** Questions to the leader of the scheduling; each answer is `undefined` where the leader can't be reached. */
+/** Questions to the scheduling leader; each answer is `undefined` where the leader can't be reached. */
 export interface LeaderQueries {
     /** `undefined` also where the leader doesn't know the submission. */
     findState(id: string): Promise<SubmissionState | undefined>;
     /** Number of pending submissions of a queue. */
-    countPending(route: string): Promise<number | undefined>;
+    countPending(queue: string): Promise<number | undefined>;
 }
 
 /** The newest configuration, and the age of this entry's view of it. */
@@ -59,11 +59,11 @@
 /** Handles clients' requests about submissions. */
 export interface SubmissionApi {
     /** Stores a submission; "accepted" is only answered once it is stored. */
-    accept(call: RequestContext, request: SubmissionRequest): Promise<AcceptResult>;
+    accept(context: RequestContext, request: SubmissionRequest): Promise<AcceptResult>;
     /** Reads the state of a submission. */
-    state(call: RequestContext, id: string): Promise<StateResult>;
+    state(context: RequestContext, id: string): Promise<StateResult>;
     /** Stores the cancellation of a submission. */
-    cancel(call: RequestContext, id: string): Promise<CancelResult>;
+    cancel(context: RequestContext, id: string): Promise<CancelResult>;
     /** Counts the pending submissions of a queue. */
-    count(call: RequestContext): Promise<CountResult>;
+    count(context: RequestContext): Promise<CountResult>;
 }
--- a/src/submissions/test/submissions.steps.ts
+++ b/src/submissions/test/submissions.steps.ts
@@ -15,7 +15,7 @@
 interface World {
     clock: Clock;
     store: FakeStore;
-    door: SubmissionApi;
+    api: SubmissionApi;
     policy: Policy | undefined;
     ageMs: number | undefined;
     isStoreLost: boolean;
@@ -35,7 +35,7 @@
     this.answers = [];
     const store = this.store.connect("entry-1");
     const steadyMs = () => performance.now();
-    this.door = createSubmissionApi({
+    this.api = createSubmissionApi({
         policySource: { policy: () => this.policy, ageMs: () => this.ageMs, isStoreLost: () => this.isStoreLost },
         store,
         writer: createRecordWriter(store, steadyMs),
@@ -54,9 +54,9 @@
     return { requestId: id, host: "stalls.example", path, key, timeoutMs: 3000 };
 }
 
-function createRequest(steps: readonly Partial<Step>[], name = id) {
+function createRequest(steps: readonly Partial<Step>[], submissionId = id) {
     return {
-        id: name,
+        id: submissionId,
         payload: "payload",
         steps: steps.map((step) => ({ ...plainStep, ...step })),
         schedule: { repeats: 0, startAtMs: 0, intervalMs: 0 },
@@ -75,7 +75,7 @@
 }
 
 function submit(world: World, path = `/stalls/${id}`, key = "key-1", steps: readonly Partial<Step>[] = [{}]) {
-    return waitForAnswer(world, world.door.accept(createContext(path, key), createRequest(steps)));
+    return waitForAnswer(world, world.api.accept(createContext(path, key), createRequest(steps)));
 }
 
 Given("the store is {string}", function(this: World, fault: StoreFault) {
@@ -126,10 +126,10 @@
 
 Given("{int} submissions are in the store", async function(this: World, count: number) {
     for (let index = 0; index < count; index++) {
-        const name = index.toString(16).padStart(16, "0");
+        const submissionId = index.toString(16).padStart(16, "0");
         await waitForAnswer(
             this,
-            this.door.accept(createContext(`/stalls/${name}`, "key-1"), createRequest([{}], name)),
+            this.api.accept(createContext(`/stalls/${submissionId}`, "key-1"), createRequest([{}], submissionId)),
         );
     }
     this.answers = [];
@@ -137,7 +137,7 @@
 });
 
 When("the queue is counted", async function(this: World) {
-    await waitForAnswer(this, this.door.count(createContext("/stalls/", "key-1")));
+    await waitForAnswer(this, this.api.count(createContext("/stalls/", "key-1")));
 });
 
 Then("the count made no call to the store", function(this: World) {
@@ -145,23 +145,25 @@
 });
 
 When("{int} submissions are submitted concurrently", async function(this: World, count: number) {
-    const names = Array.from({ length: count }, (_, index) => index.toString(16).padStart(16, "0"));
-    const calls = names.map(async (name) => {
-        this.answers.push(await this.door.accept(createContext(`/stalls/${name}`, "key-1"), createRequest([{}], name)));
+    const ids = Array.from({ length: count }, (_, index) => index.toString(16).padStart(16, "0"));
+    const calls = ids.map(async (submissionId) => {
+        this.answers.push(
+            await this.api.accept(createContext(`/stalls/${submissionId}`, "key-1"), createRequest([{}], submissionId)),
+        );
     });
     await waitForAnswer(this, Promise.all(calls).then(() => ({ kind: "accepted" })));
 });
 
 When("it is cancelled", async function(this: World) {
-    await waitForAnswer(this, this.door.cancel(createContext(`/stalls/${id}`, "key-1"), id));
+    await waitForAnswer(this, this.api.cancel(createContext(`/stalls/${id}`, "key-1"), id));
 });
 
 When("a submission that was never submitted is cancelled", async function(this: World) {
-    await waitForAnswer(this, this.door.cancel(createContext(`/stalls/${id}`, "key-1"), id));
+    await waitForAnswer(this, this.api.cancel(createContext(`/stalls/${id}`, "key-1"), id));
 });
 
 When("its state is requested", async function(this: World) {
-    await waitForAnswer(this, this.door.state(createContext(`/stalls/${id}`, "key-1"), id));
+    await waitForAnswer(this, this.api.state(createContext(`/stalls/${id}`, "key-1"), id));
 });
 
 Then("the answer is {string}", function(this: World, kind: string) {
@@ -173,6 +175,7 @@
 });
 
 Then("all are accepted", function(this: World) {
+    // The answers to 40 submissions, and one that marks the end of all calls.
     assert.equal(this.answers.length, 41);
     assert.ok(this.answers.every(({ kind }) => kind === "accepted"));
 });
--- a/src/submissions/validateSubmission.ts
+++ b/src/submissions/validateSubmission.ts
@@ -6,20 +6,20 @@
 /** Describes what is invalid in a request; `undefined` where it is valid. */
 export function validateSubmission({ payload, steps, schedule }: SubmissionRequest): string | undefined {
     if (Buffer.byteLength(payload) > maxPayloadBytes) {
-        return `the payload exceeds ${maxPayloadBytes} bytes`;
+        return `the payload is above ${maxPayloadBytes} bytes`;
     }
     if (steps.length === 0) {
-        return "the submission has no steps";
+        return "there is no step";
     }
     for (const [index, step] of steps.entries()) {
         if (step.count < 1) {
-            return `step ${index} has no tasks`;
+            return `step ${index} has no task`;
         }
         if (step.after.some((earlier) => earlier < 0 || earlier >= index)) {
-            return `step ${index} depends on a step that does not precede it`;
+            return `step ${index} waits for a step that is not before it`;
         }
     }
     return schedule.repeats > 0 && schedule.intervalMs <= 0
-        ? "a repeated submission needs an interval above 0 ms"
+        ? "a repeated submission needs an interval"
         : undefined;
 }
