--- a/src/platform/createStorePlatform.ts
+++ b/src/platform/createStorePlatform.ts
@@ -44,17 +44,17 @@
         return undefined;
     }
 
-    async function waitForChange(at: { revision: number; prefix: string; }, waitMs: number) {
-        const result = await store.watch(at.prefix, at.revision, waitMs);
+    async function waitForChange(target: { revision: number; prefix: string; }, waitMs: number) {
+        const result = await store.watch(target.prefix, target.revision, waitMs);
         switch (result.kind) {
             case "events":
-                at.revision = result.revision;
+                target.revision = result.revision;
                 result.events.forEach((event) =>
                     event.kind === "put" ? cacheItem(event.item) : cache.delete(event.key)
                 );
                 return undefined;
             case "compacted":
-                return readAll(at.prefix);
+                return readAll(target.prefix);
             case "unavailable":
                 return result;
         }
--- a/src/store/createRelayedStore.ts
+++ b/src/store/createRelayedStore.ts
@@ -40,7 +40,7 @@
 }
 
 export interface RelayedStore extends Store {
-    /** True if the store does not answer this entry directly, but answered it through a peer recently. */
+    /** True if the store does not answer this entry directly, but answered it through a peer within `relayFreshMs`. */
     isRelayOnly(): boolean;
 }
 
