--- a/src/daemon/createDaemon.ts
+++ b/src/daemon/createDaemon.ts
@@ -27,49 +27,55 @@
 
 export interface Daemon {
     start(): Promise<void>;
-    /** Hands over, answers what is under way, and ends within the grace time. */
+    /** Gives up leadership, answers open requests, and ends within the grace period. */
     stop(): Promise<void>;
 }
 
 export interface DaemonOptions {
     readonly settings: NodeSettings;
-    /** Takes every event for the log. */
+    /** Receives every log event. */
     readonly report: Reporter;
-    /** Log lines left out since the start. */
+    /** Number of log lines dropped since the start. */
     readonly droppedLines: () => number;
 }
 
-/** Connections to the store: waiting watches, writes in groups, renewals and reads of clients' requests. */
+/** Connections to the store, for long-polling watches, batched writes, lease renewals and reads for clients. */
 const storeConnections = 16;
 
-/** Connections to each worker; a waiting look takes one, orders share the others. */
+/** Connections to each worker. A long poll occupies one; start and stop requests share the others. */
 const workerConnections = 5;
 
 /**
- * How long a worker may take to answer, in milliseconds. It answers within 10 ms; what takes this long was lost, and a
- * task whose start was lost waits for nothing. Longer than the 120 ms by which a slow entry's timers may be late.
+ * Response timeout of a worker, in milliseconds. A worker answers within 10 ms, so a call that takes this long was
+ * lost; a longer timeout would only delay a task whose start request was lost. The timeout must exceed the 120 ms by
+ * which the timers of a slow entry may be late.
  */
 const workerAnswerTimeoutMs = 250;
 
-/** Links between entries are used this often, and a peer counts as silent after this, in milliseconds. */
+/** Heartbeat interval on links between entries, in milliseconds. */
 const peerHeartbeatMs = 500;
+
+/** Time without a message after which a peer counts as silent, in milliseconds. */
 const peerSilenceMs = 1500;
 
-/** Bodies above this are refused; the operators' limit is below it. */
+/** Larger request bodies are refused, in bytes. The limit that operators configure is lower. */
 const maxBodyBytes = 1024 * 1024;
 
-/** After SIGTERM the balancer needs two missed questions, one a second, to stop sending clients, in milliseconds. */
+/**
+ * Time from SIGTERM until the load balancer sends no more clients, in milliseconds. It stops after two failed readiness
+ * probes, and it probes once per second.
+ */
 const leaveRotationMs = 2500;
 
-/** Left of the grace time when the process ends, in milliseconds. */
+/** Remainder of the grace period when the process ends, in milliseconds. */
 const exitMarginMs = 500;
 
-/** The one module that wires the parts of a daemon on the users' platform. */
+/** Creates a daemon on the users' platform. Its parts are wired together only here. */
 export function createDaemon({ settings, report: log, droppedLines }: DaemonOptions): Daemon {
     const metrics = createEventMetrics({
-        policyAgeMs: () => policyFeed.ageMs(),
-        evacuatedZones: () => policyFeed.evacuatedZones().size,
-        dutyToken: () => duty.tenure()?.token,
+        policyAgeMs: () => policyWatcher.ageMs(),
+        evacuatedZones: () => policyWatcher.evacuatedZones().size,
+        dutyToken: () => leaderElection.tenure()?.token,
         droppedLines,
         openRequests: () => openRequests,
     });
@@ -100,13 +106,14 @@
         direct: createStore(callStore, settings.storeAddress),
         peers,
         nowMs: clocks.suspendAwareMs,
-        onPathChange: (path, detail) => report({ kind: "note", slice: "store", message: `calls go ${path}`, detail }),
+        onPathChange: (path, detail) =>
+            report({ kind: "note", slice: "store", message: `store calls take the ${path} path`, detail }),
     });
-    const machines = createMachines(callWorker, settings.machinesAddress);
-    const advice = createAdvice(callWorker, settings.adviceAddress);
-    const lagGuard = createLagGuard();
+    const machineApi = createMachines(callWorker, settings.machinesAddress);
+    const adviceClient = createAdvice(callWorker, settings.adviceAddress);
+    const lagMonitor = createLagGuard();
     const loadMeter = createLoadMeter((isBusy) =>
-        report({ kind: "note", slice: "load", message: isBusy ? "this entry is busy" : "this entry is busy no more" })
+        report({ kind: "note", slice: "load", message: isBusy ? "this entry is busy" : "this entry is no longer busy" })
     );
     const workerApi = createRelayedWorkers({
         direct: createTaskWorkers(callWorker, workerAnswerTimeoutMs),
@@ -115,20 +122,20 @@
         nowMs: clocks.steadyMs,
     });
     let scheduler: Scheduler | undefined;
-    const policyFeed = createPolicyFeed({
+    const policyWatcher = createPolicyFeed({
         store,
         decoder: policyDecoder,
         clocks,
         report,
         onChange: () => scheduler?.policyChanged(),
     });
-    const duty = createDuty({
+    const leaderElection = createDuty({
         store,
         clocks,
         holder: { boot, instance: settings.instance },
         report,
         minTtlMs: settings.minLeaseTtlMs,
-        fitness: () => store.isTurnedAway() ? "turnedAway" : lagGuard.isSlow() ? "slow" : "fit",
+        fitness: () => store.isTurnedAway() ? "turnedAway" : lagMonitor.isSlow() ? "slow" : "fit",
         onGained: beginTenure,
         onLost() {
             scheduler?.stop();
@@ -139,7 +146,7 @@
         store,
         clocks,
         self: { ...self, strength: measureStrength(settings.cores, settings.linkMbps) },
-        duty,
+        duty: leaderElection,
         onPeers(others) {
             const links = chooseLinks({ self: boot, others, owner: presence.ownerBoot() });
             peers.setAddresses(links.map(({ peerUrl }) => peerUrl));
@@ -150,8 +157,8 @@
         scheduler = createScheduler({
             store,
             workerApi,
-            machines,
-            advice,
+            machines: machineApi,
+            advice: adviceClient,
             decoder: workerDecoder,
             tenure,
             holder: settings.instance,
@@ -166,22 +173,22 @@
                 maxStopMs: settings.maxStopMs,
                 machineOrdersPerSecond: settings.machineOrdersPerSecond,
             },
-            policy: policyFeed.policy,
-            waves: policyFeed.waves,
-            evacuatedZones: policyFeed.evacuatedZones,
-            isPolicyFresh: () => isFreshForStarts(policyFeed.ageMs(), settings.evacuateMs),
+            policy: policyWatcher.policy,
+            waves: policyWatcher.waves,
+            evacuatedZones: policyWatcher.evacuatedZones,
+            isPolicyFresh: () => isFreshForStarts(policyWatcher.ageMs(), settings.evacuateMs),
             async reportWave(wave, isComplete) {
                 const put = encodeWaveStatus(wave, isComplete);
                 const result = await store.commit({ conditions: [tenure.condition], puts: [put], deletes: [] });
                 return result.kind === "committed";
             },
-            onFenced: () => duty.noteRefused(),
+            onFenced: () => leaderElection.noteRefused(),
         });
         void scheduler.start();
     }
 
-    const door = createDoor({
-        policySource: policyFeed,
+    const submissionApi = createDoor({
+        policySource: policyWatcher,
         store,
         writer: createRecordWriter(store, clocks.steadyMs),
         owner: createOwnerView({ peers, ownerBoot: presence.ownerBoot, scheduler: () => scheduler }),
@@ -199,8 +206,9 @@
     let openRequests = 0;
 
     function isReady(): boolean {
-        const ageMs = policyFeed.ageMs();
-        return !isStopping && policyFeed.policy() !== undefined && ageMs !== undefined && ageMs < settings.revokeMs / 2;
+        const ageMs = policyWatcher.ageMs();
+        return !isStopping && policyWatcher.policy() !== undefined && ageMs !== undefined
+            && ageMs < settings.revokeMs / 2;
     }
 
     function createServices(): void {
@@ -208,7 +216,7 @@
             name: "clients",
             listen: settings.clientAddress,
             maxBodyBytes,
-            handle: createClientSurface(door),
+            handle: createClientSurface(submissionApi),
             isClosing: () => isStopping,
             onOpen: () => openRequests++,
             onDone: () => openRequests--,
@@ -227,9 +235,9 @@
         }));
     }
 
-    async function answerRest(): Promise<void> {
-        const endMs = clocks.steadyMs() + settings.graceMs - exitMarginMs - leaveRotationMs;
-        while (openRequests > 0 && clocks.steadyMs() < endMs) {
+    async function waitForOpenRequests(): Promise<void> {
+        const deadlineMs = clocks.steadyMs() + settings.graceMs - exitMarginMs - leaveRotationMs;
+        while (openRequests > 0 && clocks.steadyMs() < deadlineMs) {
             await pause(50);
         }
     }
@@ -238,21 +246,21 @@
         async start() {
             createServices();
             await Promise.all([broker.start(), peers.start()]);
-            policyFeed.start();
+            policyWatcher.start();
             presence.start();
-            lagGuard.start();
+            lagMonitor.start();
             loadMeter.start();
-            duty.start();
+            leaderElection.start();
             report({ kind: "started", boot, zone: settings.zone, region: settings.region });
         },
         async stop() {
             report({ kind: "stopping", runningTasks: openRequests });
             isStopping = true;
-            await duty.handOver();
+            await leaderElection.handOver();
             await pause(leaveRotationMs);
-            await answerRest();
-            duty.stop();
-            policyFeed.stop();
+            await waitForOpenRequests();
+            leaderElection.stop();
+            policyWatcher.stop();
             await Promise.race([presence.stop(), pause(exitMarginMs / 2)]);
             report({ kind: "stopped" });
         },
--- a/src/daemon/createOwnerView.ts
+++ b/src/daemon/createOwnerView.ts
@@ -5,22 +5,22 @@
 const stateTopic = "state";
 const countTopic = "count";
 
-/** How long the owner may take to answer, in milliseconds; the store is asked after that. */
+/** Timeout of a question to the leader, in milliseconds. After it the caller reads the store instead. */
 const timeoutMs = 250;
 
 export interface OwnerViewOptions {
     readonly peers: Peers;
     readonly ownerBoot: () => string | undefined;
-    /** The scheduler of this entry, while it holds the duty. */
+    /** The scheduler of this entry; `undefined` while this entry isn't the leader. */
     readonly scheduler: () => Scheduler | undefined;
 }
 
-/** Asks the owner of the duty, which is this entry or a peer. */
+/** Creates queries to the leader, which is this entry or a peer; `undefined` is returned where it doesn't answer. */
 export function createOwnerView({ peers, ownerBoot, scheduler }: OwnerViewOptions): OwnerView {
     peers.onRequest(stateTopic, (_from, id) => Promise.resolve(scheduler()?.findState(String(id))));
     peers.onRequest(countTopic, (_from, route) => Promise.resolve(scheduler()?.countPending(String(route))));
 
-    async function ask(topic: string, body: string): Promise<unknown> {
+    async function askLeader(topic: string, body: string): Promise<unknown> {
         const boot = ownerBoot();
         if (boot === undefined || boot === peers.self.boot) {
             return undefined;
@@ -31,12 +31,16 @@
 
     return {
         async findState(id) {
-            const own = scheduler();
-            return own === undefined ? await ask(stateTopic, id) as SubmissionState | undefined : own.findState(id);
+            const localScheduler = scheduler();
+            return localScheduler === undefined
+                ? await askLeader(stateTopic, id) as SubmissionState | undefined
+                : localScheduler.findState(id);
         },
         async countPending(route) {
-            const own = scheduler();
-            return own === undefined ? await ask(countTopic, route) as number | undefined : own.countPending(route);
+            const localScheduler = scheduler();
+            return localScheduler === undefined
+                ? await askLeader(countTopic, route) as number | undefined
+                : localScheduler.countPending(route);
         },
     };
 }
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -3,20 +3,24 @@
 import { createDaemon } from "./createDaemon";
 
 /**
- * Addresses and bounds hold for a process's life; a changed file is checked, so that its faults show now and not at the
- * next start.
+ * Checks a changed settings file and logs the result. The addresses and bounds in use stay until the process restarts;
+ * the check shows problems of the file now and not at the next start.
  */
 function reload(report: Reporter): void {
     readNodeSettings(process.env[settingsFileVariable]).caseOf({
-        Left: (faults) =>
+        Left: (problems) =>
             report({
                 kind: "note",
                 slice: "settings",
-                message: "the changed file has faults",
-                detail: faults.join("; "),
+                message: "the changed settings file has problems",
+                detail: problems.join("; "),
             }),
         Right: () =>
-            report({ kind: "note", slice: "settings", message: "the file has changed; it holds from the next start" }),
+            report({
+                kind: "note",
+                slice: "settings",
+                message: "the settings file has changed; it takes effect at the next start",
+            }),
     });
 }
 
--- a/src/entry/createCore.ts
+++ b/src/entry/createCore.ts
@@ -17,7 +17,7 @@
 import { createTasks, type Tasks } from "../tasks";
 import type { Workers } from "../workers";
 
-/** What the core needs from outside; tests put stand-ins in their place. */
+/** Dependencies of the core. Tests replace the adapters with stand-ins. */
 export interface CoreOptions {
     readonly settings: Settings;
     readonly platform: Platform;
@@ -25,11 +25,11 @@
     readonly workers: Workers;
     readonly report: Reporter;
     readonly metrics: Metrics;
-    /** For tests alone: puts a fault into the guard against second runs. */
+    /** Only for tests: injects a fault into the protection against running a task twice. */
     readonly wrapOnce?: (once: Once) => Once;
 }
 
-/** Everything of a daemon but its HTTP interfaces and its adapters. */
+/** All parts of a daemon except its HTTP interfaces and its adapters. */
 export interface Core {
     readonly watcher: Watcher;
     readonly configuration: Configuration;
@@ -40,20 +40,21 @@
     readonly tasks: Tasks;
     readonly executor: Executor;
     start(): Promise<void>;
-    /** Lets running tasks end, hands over what is held, and leaves the record of entries. */
+    /** Waits until running tasks have ended, hands over what this entry holds, and leaves the record of entries. */
     stop(): Promise<void>;
 }
 
+/** Wait of one long-polling watch on the platform, in milliseconds. */
 const watchMs = 20_000;
 const platformRetryMs = 500;
 const drainPollMs = 20;
-/** Connections to each worker that are kept for renewals, usage and notices. */
+/** Connections to each worker that are reserved for lease renewals, reads of usage and notices. */
 const shortCallConnections = 1;
 
-/** How long a start waits for the record of entries before it goes on without, in milliseconds. */
+/** How long a start waits for this entry to be recorded before it continues without, in milliseconds. */
 const enterWaitMs = 5000;
 
-/** Puts the parts that decide together. */
+/** Creates the parts that make decisions and connects them. */
 export function createCore(opts: CoreOptions): Core {
     const { settings, platform, peers, workers, report, metrics } = opts;
     const { boot, region, zone } = peers.self;
@@ -138,9 +139,10 @@
             watcher.start();
             members.start();
             configuration.start();
-            // An entry that served before it is in the record would not be asked whether it has a revision in force;
-            // one that served what it read before it entered could lack a revision that is called in force everywhere.
-            // While the platform is down nothing is accepted, and the entry serves what its peers hold.
+            // Only recorded entries are asked whether a revision is in force there, so an entry is recorded before it
+            // serves. Then it reads the configuration again: what it read earlier could lack a revision that is
+            // reported as in force everywhere. While the platform is down no change is accepted, and the entry serves
+            // the configuration that its peers hold.
             await members.entered(enterWaitMs);
             await configuration.refresh();
             limits.start();
--- a/src/entry/createEntry.ts
+++ b/src/entry/createEntry.ts
@@ -15,21 +15,22 @@
 import { createCore } from "./createCore";
 
 export interface Entry {
+    /** Random id of this process. */
     readonly boot: string;
     start(): Promise<void>;
-    /** Takes no new request, lets running tasks end, hands over what is held, and closes. */
+    /** Refuses new requests, waits until running tasks have ended, hands over what this entry holds, and closes. */
     stop(): Promise<void>;
 }
 
 const workerTimeoutMs = 2000;
 
-/** Connections to the platform's store: one for the waiting watch, the others for reads and writes at once. */
+/** Connections to the platform's store: one for the long-polling watch, the others for concurrent reads and writes. */
 const storeConnections = 16;
 
-/** Largest value that the platform's store takes, in bytes. */
+/** Largest value that the platform's store accepts, in bytes. */
 const maxValueBytes = 1024 * 1024;
 
-/** Adds the adapters and the HTTP interfaces to the core. */
+/** Creates the daemon: the core with its adapters and HTTP interfaces. */
 export function createEntry(settings: Settings): Entry {
     const boot = randomUUID();
     const { instance, region, zone, host, operatorHash } = settings;
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -1,3 +1,3 @@
-/** The daemon of one entry instance: the one place where the parts are put together. */
+/** The daemon of one entry instance. Its parts are wired together only here. */
 export { type Core, type CoreOptions, createCore } from "./createCore";
 export { createEntry, type Entry } from "./createEntry";
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,3 +1,3 @@
-/** Settings of the daemon, from flags and environment variables, checked at once. */
+/** Settings of the daemon, read from flags and environment variables and checked together. */
 export { flagName, readSettings, type SettingsInForce, type SettingsProblem, variableName } from "./readSettings";
 export { type SettingOrigin, type Settings, type SettingSpec, settingSpecs } from "./settingSpecs";
--- a/src/settings/readSettings.ts
+++ b/src/settings/readSettings.ts
@@ -1,7 +1,7 @@
 import { type Either, Left, Right } from "purify-ts";
 import { type SettingOrigin, type Settings, settingSpecs } from "./settingSpecs";
 
-/** One setting that cannot be used, and why. */
+/** A setting that is missing or invalid, and the reason. */
 export interface SettingsProblem {
     readonly setting: string;
     readonly flag: string;
@@ -9,6 +9,7 @@
     readonly message: string;
 }
 
+/** Valid settings, and where each value comes from. */
 export interface SettingsInForce {
     readonly settings: Settings;
     readonly origins: Readonly<Record<keyof Settings, SettingOrigin>>;
@@ -22,23 +23,23 @@
     return `SAMPHIREPIN_${flagName(setting).replaceAll("-", "_").toUpperCase()}`;
 }
 
-/** Settings that are valid alone and not together. */
-function checkTogether(settings: Settings): readonly SettingsProblem[] {
+/** Finds settings that are valid one by one but not in combination. */
+function checkCombinations(settings: Settings): readonly SettingsProblem[] {
     const { peerCertFile, peerKeyFile, peerCaFile, httpCertFile, httpKeyFile, host } = settings;
     const peerFiles = [peerCertFile, peerKeyFile, peerCaFile].filter((file) => file !== undefined).length;
     const isLoopback = /^(127\.|::1$)/.test(host);
     const found: [keyof Settings, string][] = [];
     if (peerFiles !== 0 && peerFiles !== 3) {
-        found.push(["peerCertFile", "the certificate, its key and the authority have to be given together"]);
+        found.push(["peerCertFile", "the certificate, its key and the certificate authority must be given together"]);
     }
     if (peerFiles === 0 && !isLoopback && settings.allowPlainPeers === "no") {
         found.push([
             "peerCertFile",
-            "links on an address other than loopback need certificates, or allow-plain-peers yes",
+            "links on an address other than loopback require certificates, or allow-plain-peers set to yes",
         ]);
     }
     if ((httpCertFile === undefined) !== (httpKeyFile === undefined)) {
-        found.push(["httpCertFile", "the certificate and its key have to be given together"]);
+        found.push(["httpCertFile", "the certificate and its key must be given together"]);
     }
     return found.map(([setting, message]) => ({
         setting,
@@ -48,7 +49,7 @@
     }));
 }
 
-/** Reads every setting; a flag goes before the variable. Gives all problems at once. */
+/** Reads every setting. A flag takes precedence over its environment variable. Returns all problems at once. */
 export function readSettings(
     flags: Readonly<Record<string, string | undefined>>,
     environment: Readonly<Record<string, string | undefined>>,
@@ -65,13 +66,13 @@
             values[setting] = parsed.data;
         }
         else {
-            const reason = given === undefined ? "has to be given" : parsed.error.issues[0]?.message ?? "is not valid";
+            const reason = given === undefined ? "is required" : parsed.error.issues[0]?.message ?? "is invalid";
             const message = `${reason} (${spec.description}, such as ${spec.example})`;
             problems.push({ setting, flag: `--${flag}`, variable, message });
         }
     }
-    const together = problems.length > 0 ? [] : checkTogether(values as Settings);
-    return problems.length + together.length > 0
-        ? Left([...problems, ...together])
+    const combinationProblems = problems.length > 0 ? [] : checkCombinations(values as Settings);
+    return problems.length + combinationProblems.length > 0
+        ? Left([...problems, ...combinationProblems])
         : Right({ settings: values as Settings, origins: origins as SettingsInForce["origins"] });
 }
--- a/src/settings/settingSpecs.ts
+++ b/src/settings/settingSpecs.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** One setting: its flag is the kebab-case name, its variable SAMPHIREPIN_ and the name in capitals. */
+/** A setting. Its flag is its name in kebab case, its environment variable SAMPHIREPIN_ and its name in capitals. */
 export interface SettingSpec<T = unknown> {
     readonly schema: z.ZodType<T>;
     readonly description: string;
@@ -17,71 +17,103 @@
     return { schema, description, example };
 }
 
-/** Every setting of `samphirepin entry`. A setting without a default has to be given. */
+/** Every setting of `samphirepin entry`. A setting that has no default and isn't optional is required. */
 export const settingSpecs = {
-    instance: setting(name, "name of this instance in the platform's list", "entry-a1"),
+    instance: setting(name, "name of this instance in the platform's instance list", "entry-a1"),
     region: setting(name, "region of this instance", "north"),
     zone: setting(name, "availability zone of this instance", "zone-a"),
-    host: setting(z.string().default("127.0.0.1"), "address to listen on, as an IP number", "127.0.0.1"),
+    host: setting(z.string().default("127.0.0.1"), "IP address to listen on", "127.0.0.1"),
     port: setting(port.default(7080), "port for callers and operators", "7080"),
     peerPort: setting(port.default(7081), "port for links between entries", "7081"),
     platformUrl: setting(httpUrl, "address of the platform's service", "http://127.0.0.1:7000"),
-    platformTimeoutMs: setting(durationMs.default(2000), "how long one call to the platform may take", "2000"),
+    platformTimeoutMs: setting(durationMs.default(2000), "timeout of a call to the platform, in milliseconds", "2000"),
     operatorHash: setting(
         z.string().regex(/^[0-9a-f]{64}$/, "SHA-256 in hexadecimal").optional(),
-        "SHA-256 of a first operator credential, for a fleet that has none yet",
+        "SHA-256 of an initial operator credential, for a fleet that has none yet",
         "9f86…0a08",
     ),
-    taskLeaseMs: setting(durationMs.default(10_000), "lease of a task at its worker", "10000"),
+    taskLeaseMs: setting(durationMs.default(10_000), "lease of a task on its worker, in milliseconds", "10000"),
     maxEntries: setting(
         z.coerce.number().int().min(1).max(32).default(9),
-        "most entries at once; each gets its part of a worker's connections",
+        "maximum number of entries at once; each gets an equal part of a worker's connections",
         "9",
     ),
     workerConnections: setting(
         z.coerce.number().int().min(2).max(100_000).default(64),
-        "connections that one worker takes from all entries together",
+        "connections that a worker accepts from all entries together",
         "64",
     ),
     queuedPerTeam: setting(
         z.coerce.number().int().positive().default(500),
-        "most tasks of one team that wait at this entry",
+        "maximum number of tasks of one team that are queued at this entry",
         "500",
     ),
     queuedTasks: setting(
         z.coerce.number().int().positive().default(4000),
-        "most tasks that wait at this entry",
+        "maximum number of tasks that are queued at this entry",
+        "4000",
+    ),
+    shareReportMs: setting(
+        durationMs.default(500),
+        "interval of reports of shares to other entries, in milliseconds",
+        "500",
+    ),
+    usageMs: setting(durationMs.default(1000), "interval of reads of the workers' usage, in milliseconds", "1000"),
+    heartbeatMs: setting(
+        durationMs.default(1000),
+        "heartbeat interval on links between entries, in milliseconds",
+        "1000",
+    ),
+    silenceMs: setting(
+        durationMs.default(4000),
+        "time without a message after which an entry counts as silent, in milliseconds",
         "4000",
     ),
-    shareReportMs: setting(durationMs.default(500), "how often shares are told to other entries", "500"),
-    usageMs: setting(durationMs.default(1000), "how often workers' usage is read", "1000"),
-    heartbeatMs: setting(durationMs.default(1000), "how often links between entries are used", "1000"),
-    silenceMs: setting(durationMs.default(4000), "when an entry not heard from counts as silent", "4000"),
     seedPeers: setting(
         z.string().default("").transform((text) =>
             text.split(",").map((url) => url.trim()).filter((url) => url !== "")
         ),
-        "addresses of other entries' links, by commas, for a start while the platform is down",
+        "comma-separated link addresses of other entries, for a start while the platform is down",
         "ws://127.0.0.1:7081,ws://127.0.0.2:7081",
     ),
     isolatedAfterMs: setting(
         durationMs.default(60_000),
-        "silence of the platform and of all peers after which this entry reports that it is isolated; it serves on",
+        "silence of the platform and all peers until this entry reports isolation, in milliseconds; it keeps serving",
         "60000",
     ),
-    peerCertFile: setting(file, "certificate of this entry for links, as PEM", "/etc/samphirepin/entry.pem"),
+    peerCertFile: setting(
+        file,
+        "certificate of this entry for links between entries, as PEM",
+        "/etc/samphirepin/entry.pem",
+    ),
     peerKeyFile: setting(file, "key of that certificate, as PEM", "/etc/samphirepin/entry.key"),
-    peerCaFile: setting(file, "authority that all entries' certificates come from, as PEM", "/etc/samphirepin/ca.pem"),
+    peerCaFile: setting(
+        file,
+        "certificate authority that issued the certificates of all entries, as PEM",
+        "/etc/samphirepin/ca.pem",
+    ),
     allowPlainPeers: setting(
         z.enum(["yes", "no"]).default("no"),
-        "links without certificates on an address other than loopback",
+        "whether links without certificates are allowed on an address other than loopback",
         "yes",
     ),
     httpCertFile: setting(file, "certificate for callers and operators, as PEM", "/etc/samphirepin/http.pem"),
     httpKeyFile: setting(file, "key of that certificate, as PEM", "/etc/samphirepin/http.key"),
-    maxBodyBytes: setting(z.coerce.number().int().positive().default(512 * 1024), "largest request body", "524288"),
-    maxBodyMs: setting(durationMs.default(10_000), "how long a request may take to arrive whole", "10000"),
-    logLevel: setting(z.enum(["error", "warn", "info", "debug"]).default("info"), "least level that is logged", "info"),
+    maxBodyBytes: setting(
+        z.coerce.number().int().positive().default(512 * 1024),
+        "maximum size of a request body, in bytes",
+        "524288",
+    ),
+    maxBodyMs: setting(
+        durationMs.default(10_000),
+        "time in which a request must arrive completely, in milliseconds",
+        "10000",
+    ),
+    logLevel: setting(
+        z.enum(["error", "warn", "info", "debug"]).default("info"),
+        "lowest level that is logged",
+        "info",
+    ),
 } as const;
 
 export type Settings = { readonly [K in keyof typeof settingSpecs]: z.infer<typeof settingSpecs[K]["schema"]>; };
