--- a/src/cli/awaitInForce.ts
+++ b/src/cli/awaitInForce.ts
@@ -5,13 +5,13 @@
 import { writeAnswer, writeLine } from "./output";
 
 const defaultWaitMs = 10_000;
-/** The entry answers a little after the time that it was asked to wait. */
-const marginMs = 5000;
+/** Added to the timeout: the entry answers shortly after the requested waiting time. */
+const answerMarginMs = 5000;
 
-/** Flag of every command whose change has to reach all entries. */
+/** Flag of the commands whose change has to reach all entries. */
 export const waitFlags = {
     "wait-ms": Flags.integer({
-        description: "how long to wait until the change is in force everywhere, in milliseconds; 0 does not wait",
+        description: "maximum time to wait until the change is in force everywhere, in milliseconds; 0 does not wait",
         default: defaultWaitMs,
         min: 0,
     }),
@@ -27,7 +27,7 @@
     }[];
 }
 
-/** Waits until a revision is in force on every entry that may still serve; else names those that have not confirmed. */
+/** Waits until a revision is in force on every entry that may still serve; prints the entries that did not confirm. */
 export async function awaitInForce(flags: Invocation["flags"], revision: number): Promise<ExitCode> {
     const waitMs = Number(flags["wait-ms"] ?? 0);
     if (waitMs === 0) {
@@ -36,7 +36,7 @@
     const answer = await callEntry(flags as never, {
         method: "GET",
         path: `/operator/revisions/${revision}?waitMs=${waitMs}`,
-        timeoutMs: waitMs + marginMs,
+        timeoutMs: waitMs + answerMarginMs,
     });
     return answer.caseOf<ExitCode>({
         Left: (failure) => reportFailure(failure, flags["json"] === true),
@@ -53,9 +53,11 @@
         writeLine("in force everywhere");
         return;
     }
-    writeLine("accepted, and not confirmed yet by:");
+    writeLine("accepted, not yet confirmed by:");
     missing.forEach(({ instance, zone, revision, lastHeardAtMs }) => {
-        const heard = lastHeardAtMs === undefined ? "not heard" : `last heard ${new Date(lastHeardAtMs).toISOString()}`;
-        writeLine(`  ${instance} in ${zone}: ${heard}, at revision ${revision ?? "unknown"}`);
+        const contact = lastHeardAtMs === undefined
+            ? "never heard from"
+            : `last heard from at ${new Date(lastHeardAtMs).toISOString()}`;
+        writeLine(`  ${instance} in ${zone}: ${contact}, at revision ${revision ?? "unknown"}`);
     });
 }
--- a/src/cli/callAndPrint.ts
+++ b/src/cli/callAndPrint.ts
@@ -3,7 +3,7 @@
 import { ExitCode } from "./exitCode";
 import { writeAnswer } from "./output";
 
-/** Sends one request and prints its answer, as JSON or as the command renders it; `next` may then do more with it. */
+/** Sends one request and prints the response, as JSON or with `render`. `next` then continues with the response. */
 export async function callAndPrint<T>(
     flags: Invocation["flags"],
     call: EntryRequest,
--- a/src/cli/callEntry.ts
+++ b/src/cli/callEntry.ts
@@ -5,7 +5,7 @@
 import { ExitCode } from "./exitCode";
 import { writeAnswer, writeError, writeProblem } from "./output";
 
-/** Flags of every command that talks to an entry. */
+/** Flags of the commands that send requests to an entry. */
 export const entryFlags = {
     entries: Flags.string({
         description: "addresses of entries, separated by commas; the first that answers is used",
@@ -13,7 +13,7 @@
         default: "http://127.0.0.1:7080",
     }),
     credential: Flags.string({
-        description: "operator credential; better given in the environment, where other users do not see it",
+        description: "operator credential; prefer the environment variable, which other users cannot see",
         env: "SAMPHIREPIN_CREDENTIAL",
         required: true,
     }),
@@ -24,15 +24,15 @@
     readonly method: "GET" | "POST" | "DELETE";
     readonly path: string;
     readonly body?: unknown;
-    /** How long the answer may take, in milliseconds. */
+    /** Timeout for the response, in milliseconds. */
     readonly timeoutMs?: number;
 }
 
-/** Why there is no answer to print: a problem that the entry told, or no entry at all. */
+/** Why a call failed: the entry returned a problem, no entry could be reached, or the response was lost. */
 export type CallFailure =
     | { readonly kind: "problem"; readonly problem: Problem; }
     | { readonly kind: "unreachable"; readonly detail: string; }
-    /** A change was sent and its answer was lost. */
+    /** A change may have been sent, and its response was lost. */
     | { readonly kind: "lost"; readonly detail: string; };
 
 interface Connection {
@@ -42,9 +42,9 @@
 
 const defaultTimeoutMs = 15_000;
 
-/** Sends to the first entry that answers; a change goes to another entry only if it never left. */
+/** Tries the entries in turn until one answers. A change goes to the next entry only if it was certainly not sent. */
 export async function callEntry(flags: Connection, call: EntryRequest): Promise<Either<CallFailure, unknown>> {
-    let last: CallFailure = { kind: "unreachable", detail: "no address of an entry was given" };
+    let last: CallFailure = { kind: "unreachable", detail: "no entry address was given" };
     for (const address of flags.entries.split(",").filter((part) => part !== "")) {
         const answer = await callOne(address, flags.credential, call);
         const failure = answer.swap().orDefault(last);
@@ -72,23 +72,23 @@
     }
     catch (error) {
         const code = (error as { code?: unknown; }).code;
-        const isCertainlyNotSent = code === "ECONNREFUSED" || code === "EHOSTUNREACH" || code === "ENETUNREACH";
-        const isHarmless = call.method === "GET" || isCertainlyNotSent;
-        return Left({ kind: isHarmless ? "unreachable" : "lost", detail: `${address}: ${String(error)}` });
+        const isKnownUnsent = code === "ECONNREFUSED" || code === "EHOSTUNREACH" || code === "ENETUNREACH";
+        const isSafeToRetry = call.method === "GET" || isKnownUnsent;
+        return Left({ kind: isSafeToRetry ? "unreachable" : "lost", detail: `${address}: ${String(error)}` });
     }
 }
 
-/** Prints the failure and gives the exit code that goes with it. */
+/** Prints the failure and returns its exit code. */
 export function reportFailure(failure: CallFailure, isJson: boolean): ExitCode {
     switch (failure.kind) {
         case "problem":
             writeAnswer(failure.problem, isJson, writeProblem);
             return failure.problem.outcome === Outcome.Unknown ? ExitCode.Unknown : ExitCode.Refused;
         case "unreachable":
-            writeError(`no entry answers: ${failure.detail}`);
+            writeError(`no entry answered: ${failure.detail}`);
             return ExitCode.Unreachable;
         case "lost":
-            writeError(`the answer was lost, the change may have been made: ${failure.detail}`);
+            writeError(`the response was lost; the change may have been made: ${failure.detail}`);
             return ExitCode.Unknown;
     }
 }
--- a/src/cli/commands/confirm.ts
+++ b/src/cli/commands/confirm.ts
@@ -11,11 +11,12 @@
     readonly wasConfirmedBefore?: boolean;
 }
 
-/** `samphirepin confirm`: has a plan carried out. */
+/** `samphirepin confirm`: confirms a plan for execution. */
 export const confirm = defineCommand({
     id: "confirm",
-    summary: "confirm a plan, which is then carried out",
-    description: "Confirming twice does it once. A plan is refused when what it touches has moved on.",
+    summary: "confirm a plan for execution",
+    description:
+        "Confirming again has no further effect. A plan is refused if what it affects has changed since it was made.",
     flags: { ...entryFlags, ...waitFlags },
     args: { plan: Args.string({ description: "id of the plan", required: true }) },
     examples: ["confirm 5f0c1c7e"],
--- a/src/cli/commands/credentialNew.ts
+++ b/src/cli/commands/credentialNew.ts
@@ -4,11 +4,11 @@
 import { ExitCode } from "../exitCode";
 import { writeJson, writeLine } from "../output";
 
-/** `samphirepin credential new`: makes an operator credential on this machine; nothing is sent. */
+/** `samphirepin credential new`: creates an operator credential locally; nothing is sent. */
 export const credentialNew = defineCommand({
     id: "credential new",
-    summary: "make an operator credential and the hash that entries are given",
-    description: "Give the hash to the entries as --operator-hash; keep the credential to yourself.",
+    summary: "create an operator credential and its hash for the entries",
+    description: "Pass the hash to the entries as --operator-hash; keep the credential secret.",
     flags: { json: Flags.boolean({ description: "print JSON" }) },
     examples: ["credential new"],
     run: ({ flags }) => {
--- a/src/cli/commands/day.ts
+++ b/src/cli/commands/day.ts
@@ -6,23 +6,23 @@
 import { logFlags } from "../logFlags";
 import { writeAnswer, writeError, writeLine } from "../output";
 
-/** `samphirepin day`: a day at a glance. */
+/** `samphirepin day`: summary of a day from the logs. */
 export const day = defineCommand({
     id: "day",
-    summary: "tell from the logs what came, waited and went wrong over a day",
+    summary: "summarize arrivals, waiting work and failures of a day from the logs",
     description:
-        "Prints changes of the duty, evacuations and lost stores; --svg draws them with arrivals, waiting work and "
-        + "machines of each pool.",
-    flags: { ...logFlags, svg: Flags.string({ description: "file to draw the day to" }) },
+        "Prints changes of leadership, evacuations and losses of the store; --svg draws them with arrivals, waiting "
+        + "work and machines of each pool.",
+    flags: { ...logFlags, svg: Flags.string({ description: "SVG file to write" }) },
     examples: ["day --log *.log --svg day.svg"],
     async run({ flags }) {
-        const trace = traceDay(await readLogLines(flags["log"] as string[]));
+        const summary = traceDay(await readLogLines(flags["log"] as string[]));
         const file = flags["svg"] as string | undefined;
-        if (file !== undefined && !writeDrawing(file, drawDay(trace))) {
+        if (file !== undefined && !writeSvg(file, drawDay(summary))) {
             return ExitCode.Usage;
         }
         writeAnswer(
-            trace,
+            summary,
             flags["json"] === true,
             ({ events }) => events.forEach(({ atS, text }) => writeLine(`${atS.toFixed(1).padStart(8)} s  ${text}`)),
         );
@@ -30,13 +30,13 @@
     },
 });
 
-function writeDrawing(file: string, svg: string): boolean {
+function writeSvg(file: string, svg: string): boolean {
     try {
         writeFileSync(file, svg);
         return true;
     }
     catch (error) {
-        writeError(`${file} can't be written: ${String(error)}`);
+        writeError(`cannot write ${file}: ${String(error)}`);
         return false;
     }
 }
--- a/src/cli/commands/entry.ts
+++ b/src/cli/commands/entry.ts
@@ -3,11 +3,11 @@
 import { ExitCode } from "../exitCode";
 import { settingFlags, writeSettingsProblems } from "../settingFlags";
 
-/** `samphirepin entry`: the daemon. */
+/** `samphirepin entry`: runs the daemon. */
 export const entry = defineCommand({
     id: "entry",
     summary: "run the daemon of this entry instance",
-    description: "Runs until SIGTERM or SIGINT, which let running tasks end. Every flag has an environment variable.",
+    description: "Runs until SIGTERM or SIGINT, then lets running tasks end. Every flag has an environment variable.",
     flags: settingFlags,
     examples: [
         "entry --instance entry-a1 --region north --zone zone-a --platform-url http://10.0.0.5:7000",
@@ -20,7 +20,7 @@
                 return Promise.resolve<ExitCode>(ExitCode.Usage);
             },
             Right: async ({ settings }) => {
-                // Loaded here, so that the operators' commands start without the daemon's libraries.
+                // Loaded lazily, so that operators' commands start without loading the daemon's libraries.
                 const { createEntry } = await import("../../entry");
                 const daemon = createEntry(settings);
                 await daemon.start();
--- a/src/cli/commands/follow.ts
+++ b/src/cli/commands/follow.ts
@@ -42,7 +42,7 @@
     readonly active?: readonly string[];
 }
 
-/** Writes only what is new; gives what stands printed. */
+/** Writes the progress if it has changed; returns the line that was printed last. */
 function writeProgress(progress: Progress, flags: Invocation["flags"], printed: string): string {
     const line = describeProgress(progress);
     if (flags["json"] === true && line !== printed) {
@@ -59,9 +59,9 @@
     if (counts === undefined) {
         return `plan ${id}: ${status.kind}${reason}`;
     }
-    const left = typeof waiting === "number" ? waiting : Object.keys(waiting ?? {}).length;
+    const waitingCount = typeof waiting === "number" ? waiting : Object.keys(waiting ?? {}).length;
     return `plan ${id}: ${status.kind}${reason}; ${counts.done} done, ${
         active?.length ?? 0
-    } under way, ${left} waiting, `
-        + `${counts.failed} failed, ${counts.skipped} left out`;
+    } in progress, ${waitingCount} waiting, `
+        + `${counts.failed} failed, ${counts.skipped} skipped`;
 }
--- a/src/cli/commands/index.ts
+++ b/src/cli/commands/index.ts
@@ -13,7 +13,7 @@
 import { settings } from "./settings";
 import { show } from "./show";
 
-/** Every command of the program, in the order of its help. */
+/** Every command, in the order of the root help. */
 export const commands: readonly DefinedCommand[] = [
     entry,
     settings,
--- a/src/cli/commands/keyGrant.ts
+++ b/src/cli/commands/keyGrant.ts
@@ -5,7 +5,7 @@
 import { defineCommand } from "../defineCommand";
 import { writeLine } from "../output";
 
-/** `samphirepin key grant`: makes a key for a team and shows it once. */
+/** `samphirepin key grant`: creates a key for a team and prints it once. */
 export const keyGrant = defineCommand({
     id: "key grant",
     summary: "grant a new key to a team; it is shown once",
@@ -17,7 +17,7 @@
             flags,
             { method: "POST", path: "/operator/keys", body: { team: args["team"] } },
             ({ keyId, key }: { keyId: string; key: string; revision: number; }) => {
-                writeLine(`key ${keyId} (withdraw it by this name):`);
+                writeLine(`key ${keyId} (use this id to withdraw it):`);
                 writeLine(key);
             },
             ({ revision }) => awaitInForce(flags, revision),
--- a/src/cli/commands/keyWithdraw.ts
+++ b/src/cli/commands/keyWithdraw.ts
@@ -5,7 +5,7 @@
 import { defineCommand } from "../defineCommand";
 import { writeLine } from "../output";
 
-/** `samphirepin key withdraw`: ends a key. */
+/** `samphirepin key withdraw`: makes a key invalid. */
 export const keyWithdraw = defineCommand({
     id: "key withdraw",
     summary: "withdraw a key by its id",
--- a/src/cli/commands/machineTime.ts
+++ b/src/cli/commands/machineTime.ts
@@ -4,13 +4,13 @@
 import { logFlags } from "../logFlags";
 import { writeAnswer, writeLine, writeTable } from "../output";
 
-/** `samphirepin machine-time`: what machines in pools did. */
+/** `samphirepin machine-time`: use of machine time by pool. */
 export const machineTime = defineCommand({
     id: "machine-time",
-    summary: "tell from the logs where machine time went",
+    summary: "summarize from the logs how machine time was used",
     description:
-        "Empty, with tasks that last alone, or at work, by pool; which machines that joined found work; and when "
-        + "nobody decided. Lines that were left out under load are not counted.",
+        "By pool: time of machines that were empty, ran only long-running tasks, or worked. Also: whether machines "
+        + "that joined got work, and periods without a leader. Log lines dropped under load are not counted.",
     flags: logFlags,
     examples: ["machine-time --log *.log", "machine-time --log *.log --json"],
     async run({ flags }) {
@@ -25,12 +25,12 @@
     writeTable([...pools].map(([pool, { emptyS, stayingS, workingS, coreS, usedCoreS }]) => ({
         pool,
         "empty s": Math.round(emptyS),
-        "staying s": Math.round(stayingS),
+        "long-running only s": Math.round(stayingS),
         "working s": Math.round(workingS),
         "processors used": `${Math.round(100 * usedCoreS / Math.max(1, coreS))}%`,
     })));
     const { prompt, later, never } = joined;
-    writeLine(`machines that joined: ${prompt} found work within ${promptS} s, ${later} later, ${never} none`);
-    writeLine("without an owner:");
+    writeLine(`machines that joined: ${prompt} got work within ${promptS} s, ${later} later, ${never} none`);
+    writeLine("without a leader:");
     vacancies.forEach(({ until, lastedS, reason }) => writeLine(`  ${until} ${lastedS.toFixed(2)} s (${reason})`));
 }
--- a/src/cli/commands/plan.ts
+++ b/src/cli/commands/plan.ts
@@ -7,10 +7,10 @@
 import { readIntentFile } from "../readIntentFile";
 import { writePlan } from "../writePlan";
 
-/** `samphirepin plan`: states an intent and prints the plan that answers it; nothing is changed. */
+/** `samphirepin plan`: submits an intent and prints the resulting plan; nothing is changed. */
 export const plan = defineCommand({
     id: "plan",
-    summary: "state an intent and read the plan that answers it",
+    summary: "submit an intent and print the resulting plan",
     description: "Reads a YAML or JSON file (- for standard input). Nothing changes until the plan is confirmed.",
     flags: entryFlags,
     args: { file: Args.string({ description: "file with the intent", required: true }) },
--- a/src/cli/commands/planSteer.ts
+++ b/src/cli/commands/planSteer.ts
@@ -4,7 +4,7 @@
 import { defineCommand, type DefinedCommand } from "../defineCommand";
 import { writeLine } from "../output";
 
-function definePlanSteer(verb: "pause" | "resume" | "cancel", summary: string): DefinedCommand {
+function definePlanControl(verb: "pause" | "resume" | "cancel", summary: string): DefinedCommand {
     return defineCommand({
         id: verb,
         summary,
@@ -22,6 +22,6 @@
     });
 }
 
-export const planPause = definePlanSteer("pause", "begin no further step of a confirmed plan");
-export const planResume = definePlanSteer("resume", "go on with a paused plan");
-export const planCancel = definePlanSteer("cancel", "end a plan after the steps that are under way");
+export const planPause = definePlanControl("pause", "pause a confirmed plan: no further step starts");
+export const planResume = definePlanControl("resume", "resume a paused plan");
+export const planCancel = definePlanControl("cancel", "cancel a plan once the steps in progress have ended");
--- a/src/cli/commands/settings.ts
+++ b/src/cli/commands/settings.ts
@@ -5,10 +5,10 @@
 import { writeAnswer, writeTable } from "../output";
 import { settingFlags, writeSettingsProblems } from "../settingFlags";
 
-/** `samphirepin settings`: what `samphirepin entry` would use, and where each value comes from. */
+/** `samphirepin settings`: the settings that `samphirepin entry` would use, and the origin of each value. */
 export const settings = defineCommand({
     id: "settings",
-    summary: "show the settings in force and where each came from",
+    summary: "show the effective settings and the origin of each",
     flags: { ...settingFlags, json: Flags.boolean({ description: "print JSON" }) },
     examples: ["settings --instance entry-a1 --region north --zone zone-a --platform-url http://10.0.0.5:7000"],
     run: ({ flags: { json, ...flags } }) =>
--- a/src/cli/commands/show.ts
+++ b/src/cli/commands/show.ts
@@ -6,7 +6,7 @@
 
 const topics = ["pools", "instances", "teams", "limits", "waves", "plans", "entries", "state"] as const;
 
-/** `samphirepin show`: what is in force. */
+/** `samphirepin show`: the present state of the fleet. */
 export const show = defineCommand({
     id: "show",
     summary: `show ${topics.slice(0, -1).join(", ")} or the whole state`,
--- a/src/cli/createConfig.ts
+++ b/src/cli/createConfig.ts
@@ -1,11 +1,11 @@
 import { Config } from "@oclif/core";
 
-/** Version of this build; the build puts it in. */
+/** Version of this build, set by the build. */
 export const version = process.env["SAMPHIREPIN_VERSION"] ?? "0.0.0-development";
 
 /**
- * The configuration that oclif's parser and help need, made without a look at the disk:
- * in the one-file program there is no folder of commands to discover.
+ * Creates the configuration that oclif's parser and help need, without reading the disk: the single-file executable has
+ * no folder in which commands could be discovered.
  */
 export function createConfig(): Config {
     const config = new Config({ root: __dirname });
--- a/src/cli/defineCommand.ts
+++ b/src/cli/defineCommand.ts
@@ -4,7 +4,7 @@
 type Flags = Interfaces.FlagInput;
 type Args = Interfaces.ArgInput;
 
-/** What a command's handler is given: its flags and arguments, already parsed. */
+/** The parsed flags and arguments that a command's handler receives. */
 export interface Invocation {
     // eslint-disable-next-line @typescript-eslint/no-explicit-any -- each handler knows the flags that it declared
     readonly flags: Record<string, any>;
@@ -12,18 +12,18 @@
 }
 
 export interface CommandSpec {
-    /** Words of the command, such as `key grant`. */
+    /** Words that name the command, such as `key grant`. */
     readonly id: string;
     readonly summary: string;
     readonly description?: string;
     readonly flags?: Flags;
     readonly args?: Args;
-    /** Each as a line that can be typed, without the program's name. */
+    /** Example command lines without the program's name. */
     readonly examples: readonly string[];
     run(invocation: Invocation): Promise<ExitCode>;
 }
 
-/** A command as the program's table of commands holds it. */
+/** A command as listed in `commands`. */
 export interface DefinedCommand {
     readonly id: string;
     readonly summary: string;
@@ -34,7 +34,7 @@
     readonly examples: readonly string[];
 }
 
-/** Makes an oclif command out of its parts. */
+/** Creates an oclif command from its specification. */
 export function defineCommand(spec: CommandSpec): DefinedCommand {
     const command = class extends Command {
         static override id = spec.id;
--- a/src/cli/exitCode.ts
+++ b/src/cli/exitCode.ts
@@ -1,15 +1,15 @@
 /** Exit codes of every command. */
 export const ExitCode = {
     Done: 0,
-    /** The fleet refused: the reason is in the problem that is printed. */
+    /** The entry refused the request; the printed problem gives the reason. */
     Refused: 1,
-    /** The command line, a file or a setting is wrong; nothing was sent. */
+    /** The command line, a file or a setting is invalid; nothing was sent. */
     Usage: 2,
     /** No entry answered. */
     Unreachable: 3,
-    /** The outcome is not known; look before trying again. */
+    /** The outcome is unknown; check the state before a retry. */
     Unknown: 4,
-    /** It was accepted, and is not yet in force everywhere. */
+    /** The change was accepted but is not yet in force everywhere. */
     NotInForce: 5,
 } as const;
 export type ExitCode = typeof ExitCode[keyof typeof ExitCode];
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,2 +1,2 @@
-/** The `samphirepin` command line: one module for each command. */
+/** The `samphirepin` command line, with one module per command. */
 export { runCommand } from "./runCommand";
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -12,7 +12,7 @@
     writeLine(JSON.stringify(value, undefined, 2));
 }
 
-/** Writes a value as JSON if that was asked for, else as `render` does. */
+/** Writes a value as JSON if `isJson` is set, otherwise with `render`. */
 export function writeAnswer<T>(value: T, isJson: boolean, render: (value: T) => void): void {
     if (isJson) {
         writeJson(value);
@@ -22,7 +22,7 @@
     }
 }
 
-/** Writes rows under the names of their columns, each as wide as its widest value. */
+/** Writes rows as a table with a header; each column is as wide as its widest cell. */
 export function writeTable(rows: readonly Readonly<Record<string, unknown>>[]): void {
     const names = [...new Set(rows.flatMap((row) => Object.keys(row)))];
     const cells = [
@@ -45,12 +45,12 @@
     return typeof value === "object" ? JSON.stringify(value) : String(value);
 }
 
-/** Writes what was refused, why, and what to do. */
+/** Writes a problem: what was refused, the reason, and a hint for the operator. */
 export function writeProblem(problem: Problem): void {
     writeError(`${problem.code}: ${problem.title}: ${problem.detail}`);
     problem.fields?.forEach(({ field, message }) => writeError(`  ${field}: ${message}`));
     writeError(`hint: ${problem.hint}`);
     if (problem.retryAfterSeconds !== undefined) {
-        writeError(`come back in ${problem.retryAfterSeconds} s`);
+        writeError(`retry in ${problem.retryAfterSeconds} s`);
     }
 }
--- a/src/cli/readIntentFile.ts
+++ b/src/cli/readIntentFile.ts
@@ -3,14 +3,14 @@
 import { type Document, isNode, LineCounter, parseDocument } from "yaml";
 import { type Intent, intentSchema } from "../plans";
 
-/** One error of an intent file, with the place to look at. */
+/** An error in an intent file and its position. */
 export interface IntentFileError {
     readonly line: number;
     readonly field: string;
     readonly message: string;
 }
 
-/** Reads an intent from a YAML or JSON file; tells every error with its line and field. */
+/** Reads an intent from a YAML or JSON file (`-` for standard input); reports every error with line and field. */
 export function readIntentFile(path: string): Either<readonly IntentFileError[], Intent> {
     let text: string;
     try {
@@ -43,7 +43,7 @@
     })));
 }
 
-/** The line of the field, or of the nearest part around it that stands in the file. */
+/** Returns the line of a field or, if the file lacks it, of its nearest enclosing node. */
 function findLine(document: Document, path: readonly PropertyKey[], lines: LineCounter): number {
     for (let depth = path.length; depth >= 0; depth--) {
         const node = document.getIn(path.slice(0, depth), true);
--- a/src/cli/runCommand.ts
+++ b/src/cli/runCommand.ts
@@ -7,7 +7,7 @@
 
 const helpWidth = 100;
 
-/** Runs the command that the words name; gives the exit code. */
+/** Runs the command that `argv` names and returns its exit code. */
 export async function runCommand(argv: readonly string[]): Promise<ExitCode> {
     if (argv[0] === "--version" || argv[0] === "-v") {
         writeLine(`samphirepin ${version}`);
@@ -38,10 +38,10 @@
     }
 }
 
-/** The command with the most words that the command line begins with. */
+/** Finds the longest command name that the command line begins with. */
 function findCommand(argv: readonly string[]): DefinedCommand | undefined {
     return commands
-        .filter(({ id }) => id.split(" ").every((word, at) => argv[at] === word))
+        .filter(({ id }) => id.split(" ").every((word, index) => argv[index] === word))
         .sort((a, b) => b.id.length - a.id.length)[0];
 }
 
@@ -51,7 +51,7 @@
         writeLine(formatRootHelp());
         return ExitCode.Done;
     }
-    writeError(`there is no command ${argv.filter((word) => !word.startsWith("-")).join(" ")}\n\n${formatRootHelp()}`);
+    writeError(`unknown command ${argv.filter((word) => !word.startsWith("-")).join(" ")}\n\n${formatRootHelp()}`);
     return ExitCode.Usage;
 }
 
@@ -73,13 +73,13 @@
         "  SAMPHIREPIN_CREDENTIAL  the operator credential",
         "",
         "EXIT CODES",
-        "  0 done · 1 refused · 2 wrong usage, file or setting · 3 no entry answers · 4 outcome unknown",
-        "  5 accepted and not yet in force everywhere",
+        "  0 done · 1 refused · 2 invalid usage, file or setting · 3 no entry answered · 4 outcome unknown",
+        "  5 accepted, not yet in force everywhere",
     ].join("\n");
 }
 
 function formatHelp({ id, summary, description, flags, args, examples }: DefinedCommand): string {
-    // The help class takes a command as oclif caches it: its parts under their names, each flag and argument named.
+    // The help class expects a command in oclif's cached form, in which each flag and argument carries its own name.
     const cached = {
         id,
         description,
--- a/src/cli/test/cli.steps.ts
+++ b/src/cli/test/cli.steps.ts
@@ -15,16 +15,16 @@
     secondCount: number;
 }
 
-/** Runs a command and keeps what it writes. */
+/** Runs a command and captures its output. */
 async function run(world: World, line: string): Promise<void> {
     const [out, err] = [process.stdout.write, process.stderr.write];
     world.output = "";
-    const keep = (text: unknown) => {
+    const capture = (text: unknown) => {
         world.output += String(text);
         return true;
     };
-    process.stdout.write = keep as typeof out;
-    process.stderr.write = keep as typeof err;
+    process.stdout.write = capture as typeof out;
+    process.stderr.write = capture as typeof err;
     try {
         world.exitCode = await runCommand(line.split(" ").slice(1));
     }
@@ -47,7 +47,7 @@
     this.servers?.forEach((server) => server.close());
 });
 
-Given("an entry that takes a request and closes the connection", async function(this: World) {
+Given("an entry that receives a request and closes the connection", async function(this: World) {
     this.secondCount = 0;
     this.servers = [await listen(() => {}), await listen(() => this.secondCount++)];
 });
@@ -73,11 +73,11 @@
     }
 });
 
-Then("the errors stand at {string}", function(this: World, expected: string) {
+Then("the errors are at {string}", function(this: World, expected: string) {
     assert.equal(this.errors.map(({ line, field }) => `${line} ${field}`).join(", "), expected);
 });
 
-Then("the first error stands at line {int}", function(this: World, line: number) {
+Then("the first error is at line {int}", function(this: World, line: number) {
     assert.equal(this.errors[0]?.line, line);
 });
 
@@ -93,6 +93,6 @@
     this.helps.forEach((help) => assert.match(help, /EXAMPLES\n {2}\$ samphirepin/));
 });
 
-Then("the second entry saw {int} requests", function(this: World, count: number) {
+Then("the second entry received {int} requests", function(this: World, count: number) {
     assert.equal(this.secondCount, count);
 });
--- a/src/cli/writePlan.ts
+++ b/src/cli/writePlan.ts
@@ -3,7 +3,7 @@
 
 const minuteMs = 60_000;
 
-/** Writes a plan as an operator reads it before confirming. */
+/** Writes a plan for an operator to review before confirming it. */
 export function writePlan(plan: Plan): void {
     writeLine(`plan ${plan.id}, made at revision ${plan.madeAtRevision}`);
     writeList("steps", plan.steps);
@@ -12,7 +12,7 @@
         writeTable(plan.effects.map((effect) => ({ ...effect })));
     }
     writeLine(
-        `moves ${plan.moves} (fewest possible ${plan.fewestMoves}), spare slots ${plan.bufferSlots >= 0 ? "+" : ""}`
+        `moves ${plan.moves} (minimum ${plan.fewestMoves}), spare slots ${plan.bufferSlots >= 0 ? "+" : ""}`
             + `${plan.bufferSlots}, about ${Math.ceil(plan.estimatedMs / minuteMs)} min`,
     );
     writeList("notes", plan.notes);
@@ -25,6 +25,6 @@
 function writeList(title: string, lines: readonly string[]): void {
     if (lines.length > 0) {
         writeLine(`${title}:`);
-        lines.forEach((line, at) => writeLine(`  ${at + 1}. ${line}`));
+        lines.forEach((line, index) => writeLine(`  ${index + 1}. ${line}`));
     }
 }
--- a/src/clock/createClocks.ts
+++ b/src/clock/createClocks.ts
@@ -1,27 +1,27 @@
-/** Two readings of elapsed time, in milliseconds, for the two sides on which an error is harmless. */
+/** Two clocks for elapsed time, in milliseconds. They differ in the direction in which an error is harmless. */
 export interface Clocks {
-    /** Never ahead of the true elapsed time: for waiting until a right that somebody else holds has run out. */
+    /** Never ahead of the true elapsed time: for waiting until another holder's lease has expired. */
     steadyMs(): number;
-    /** Also counts time during which the machine was suspended: for deciding whether an own right still holds. */
+    /** Also counts time during which the machine was suspended: for deciding whether an own lease is still valid. */
     suspendAwareMs(): number;
 }
 
 /**
- * A suspended machine's steady clock stands still while leases at the store run out. The time of day goes on; of both
- * the one that advanced further counts. A time of day that jumps ahead makes this entry give up rights too early,
- * which costs a renewal; one that jumps back changes nothing.
+ * While a machine is suspended, its monotonic clock stops and its leases at the store expire. The wall clock continues,
+ * so `suspendAwareMs` advances by the larger of both steps. A wall clock that jumps ahead makes this entry give up its
+ * leases too early, which costs a renewal. One that jumps back has no effect.
  */
 export function createClocks(): Clocks {
     let elapsedMs = 0;
-    let lastSteadyMs = performance.now();
-    let lastTimeOfDayMs = Date.now();
+    let lastMonotonicMs = performance.now();
+    let lastWallClockMs = Date.now();
     return {
         steadyMs: () => performance.now(),
         suspendAwareMs() {
-            const [steadyMs, timeOfDayMs] = [performance.now(), Date.now()];
-            elapsedMs += Math.max(0, steadyMs - lastSteadyMs, timeOfDayMs - lastTimeOfDayMs);
-            lastSteadyMs = steadyMs;
-            lastTimeOfDayMs = timeOfDayMs;
+            const [monotonicMs, wallClockMs] = [performance.now(), Date.now()];
+            elapsedMs += Math.max(0, monotonicMs - lastMonotonicMs, wallClockMs - lastWallClockMs);
+            lastMonotonicMs = monotonicMs;
+            lastWallClockMs = wallClockMs;
             return elapsedMs;
         },
     };
--- a/src/clock/index.ts
+++ b/src/clock/index.ts
@@ -1,3 +1,3 @@
-/** Elapsed time, read on the side on which an error does no harm, and waiting. */
+/** Clocks for elapsed time whose errors are on the safe side, and a delay. */
 export { type Clocks, createClocks } from "./createClocks";
 export { pause } from "./pause";
--- a/src/clock/pause.ts
+++ b/src/clock/pause.ts
@@ -1,4 +1,4 @@
-/** Resolves after a time of the runtime's clock, in milliseconds. */
+/** Resolves after a timer of `ms` milliseconds. */
 export function pause(ms: number): Promise<void> {
     return new Promise((resolve) => setTimeout(resolve, ms));
 }
--- a/src/errors/createProblem.ts
+++ b/src/errors/createProblem.ts
@@ -6,7 +6,7 @@
     readonly fields?: Problem["fields"];
 }
 
-/** Builds a problem document; the outcome is "not run" unless the caller says otherwise. */
+/** Creates a problem document; the outcome is `not run` unless the options set another one. */
 export function createProblem(code: ProblemCode, detail: string, opts: ProblemOptions = {}): Problem {
     const { status, title, hint } = problemCodes[code];
     return {
--- a/src/errors/problem.ts
+++ b/src/errors/problem.ts
@@ -1,9 +1,9 @@
 /**
- * What is known of a caller's request when it ends.
+ * What is known about a caller's request when it ends.
  *
- * - `answered`: the task ran and this is its answer.
- * - `not run`: the task never started and this attempt can never start later.
- * - `unknown`: the task may have run; only the caller's own records can tell.
+ * - `answered`: the task ran, and this is its answer.
+ * - `not run`: the task did not start, and this attempt cannot start later.
+ * - `unknown`: the task may have run; only the caller's own records can show whether it did.
  */
 export const Outcome = {
     Answered: "answered",
@@ -19,7 +19,7 @@
     readonly hint: string;
 }
 
-/** Every problem that the HTTP interfaces can answer with; the keys are stable. */
+/** Every problem that the HTTP interfaces can return. The keys are stable. */
 export const problemCodes = {
     INVALID_REQUEST: { status: 400, title: "The request is not valid", hint: "Correct the named fields." },
     KEY_REJECTED: { status: 401, title: "The key is unknown or withdrawn", hint: "Ask your operator for a new key." },
@@ -78,7 +78,7 @@
 
 export type ProblemCode = keyof typeof problemCodes;
 
-/** A problem document as in RFC 9457, with the outcome of the request and when to come back. */
+/** A problem document as in RFC 9457, with the outcome of the request and the delay before a retry. */
 export interface Problem {
     readonly code: ProblemCode;
     readonly status: number;
@@ -86,8 +86,8 @@
     readonly detail: string;
     readonly hint: string;
     readonly outcome: Outcome;
-    /** Seconds until it is worth coming back; absent where it is not. */
+    /** Seconds after which a retry is worthwhile; absent if a retry is not. */
     readonly retryAfterSeconds?: number;
-    /** The fields at fault, each with its reason. */
+    /** The invalid fields, each with its reason. */
     readonly fields?: readonly { readonly field: string; readonly message: string; }[];
 }
--- a/src/http/createGateway.ts
+++ b/src/http/createGateway.ts
@@ -8,11 +8,11 @@
     readonly host: string;
     readonly port: number;
     readonly maxBodyBytes: number;
-    /** With a certificate and its key, as PEM texts, callers and operators use HTTPS. */
+    /** Certificate and key in PEM format; if present, the gateway serves HTTPS. */
     readonly certificates?: { readonly cert: string; readonly key: string; };
-    /** How long a request may take to arrive whole, in milliseconds. */
+    /** Time limit for receiving a whole request, in milliseconds. */
     readonly maxBodyMs: number;
-    /** Action by "METHOD /path", as moleculer-web names them. */
+    /** Action by "METHOD /path", in the notation of moleculer-web. */
     readonly aliases: Readonly<Record<string, string>>;
     readonly metricsText: () => Promise<string>;
     readonly isReady: () => boolean;
@@ -48,8 +48,8 @@
             onError: writeError,
         },
         created() {
-            // Ahead of the gateway's own listener: its middlewares run only once the body has been read.
-            (this as unknown as GatewayService).server.prependListener("request", limitArrival(opts));
+            // Runs before the gateway's own listener, whose middlewares run only after the body has been read.
+            (this as unknown as GatewayService).server.prependListener("request", limitBody(opts));
         },
     };
 }
@@ -59,15 +59,17 @@
 }
 
 /**
- * A client that sends its body a byte at a time would hold a connection and its buffers for minutes, and many such
- * clients all of them. It is answered and cut off when the time is over.
+ * Limits the time and the size of a request body.
  *
- * A body whose length is announced above the limit is refused at once: on a busy machine the time could be over before
- * the body is looked at, and the client would send it again and again for having been too slow.
+ * A client that sends its body byte by byte holds a connection and its buffers for minutes, and many such clients use
+ * up all connections. When the time limit has passed, the gateway responds with an error and closes the connection.
+ *
+ * A body with a `content-length` above the limit is refused at once. On a busy machine, the time limit could otherwise
+ * pass before the body is read, and the client would keep retrying because its body was reported as too slow.
  */
-function limitArrival({ maxBodyMs, maxBodyBytes }: GatewayOptions) {
+function limitBody({ maxBodyMs, maxBodyBytes }: GatewayOptions) {
     return (req: IncomingMessage, res: ServerResponse): void => {
-        const cutOff = (): void => {
+        const closeIfIncomplete = (): void => {
             if (req.complete) {
                 return;
             }
@@ -78,20 +80,20 @@
             const problem = createProblem("BODY_TOO_SLOW", `the body took longer than ${maxBodyMs} ms`);
             writeProblem(res, problem, () => req.socket.destroy());
         };
-        // After a stall of this process timers fire before arrived bytes are read; a body that is here still counts.
-        const timer = setTimeout(() => setImmediate(cutOff), maxBodyMs);
+        // After a stall of this process, timers fire before received bytes are read; a body that has arrived counts.
+        const timer = setTimeout(() => setImmediate(closeIfIncomplete), maxBodyMs);
         req.once("end", () => clearTimeout(timer));
         req.once("close", () => clearTimeout(timer));
         if (Number(req.headers["content-length"]) > maxBodyBytes) {
-            writeProblem(res, createProblem("BODY_TOO_LARGE", bodyTooLarge));
+            writeProblem(res, createProblem("BODY_TOO_LARGE", bodyTooLargeDetail));
             req.resume();
         }
     };
 }
 
-const bodyTooLarge = "the body is above the limit of this entry";
+const bodyTooLargeDetail = "the body is above the limit of this entry";
 
-/** Answers before the body has been read, and ends the connection after it. */
+/** Responds before the body has been read, and closes the connection afterwards. */
 function writeProblem(res: ServerResponse, problem: Problem, onSent?: () => void): void {
     res.writeHead(problem.status, { "content-type": "application/problem+json", connection: "close" });
     res.end(JSON.stringify(problem), onSent);
@@ -117,7 +119,7 @@
     res.end(text);
 }
 
-/** Errors before an action is reached: the body cannot be read or the path is not known. */
+/** Handles errors that occur before an action is called: an unreadable body or an unknown path. */
 function writeError(_req: IncomingMessage, res: ServerResponse, error: { code?: number; message: string; }): void {
     if (res.headersSent) {
         return;
@@ -132,7 +134,7 @@
         case 404:
             return createProblem("NOT_FOUND", "there is nothing at this path");
         case 413:
-            return createProblem("BODY_TOO_LARGE", bodyTooLarge);
+            return createProblem("BODY_TOO_LARGE", bodyTooLargeDetail);
         default:
             return createProblem("INVALID_REQUEST", error.message);
     }
--- a/src/http/httpMeta.ts
+++ b/src/http/httpMeta.ts
@@ -1,8 +1,8 @@
-/** What the gateway hands to an action, and what an action may set for the answer. */
+/** Metadata that the gateway passes to an action, and fields that an action may set for the response. */
 export interface HttpMeta {
     /** The bearer secret of the request: a team's key or an operator's credential. */
     secret?: string;
-    /** Aborted when the client goes away before its answer. */
+    /** Aborted when the client disconnects before the response is complete. */
     signal?: AbortSignal;
     $statusCode?: number;
     $responseType?: string;
--- a/src/logging/createLineSink.ts
+++ b/src/logging/createLineSink.ts
@@ -1,103 +1,104 @@
 import { Writable } from "node:stream";
 
 export interface LineSinkOptions {
-    /** Where the lines go; a pipe that nobody reads must not hold the process up. */
+    /** Where lines are written. A pipe without a reader must not block the process. */
     readonly output: Writable;
-    /** Lines of one kind that are taken each second; the others are counted. */
+    /** Lines of one kind accepted per second; further lines are dropped and counted. */
     readonly linesPerSecond: number;
-    /** Kinds that have no such bound of their own, such as refusals. */
+    /** Whether a kind is exempt from the rate limit, such as changes of leadership. */
     readonly isUnbounded: (kind: string) => boolean;
 }
 
-/** Takes finished lines and writes them in groups. */
+/** Buffers complete lines and writes them in batches. */
 export interface LineSink {
-    /** Gives false where the line was left out. */
+    /** Counts one line against the rate limit of its kind. Returns false if the line must be dropped. */
     take(kind: string): boolean;
     readonly stream: Writable;
-    /** Lines left out since the start. */
+    /** Number of lines dropped since the start. */
     dropped(): number;
     flush(): void;
     close(): void;
 }
 
-/** How long lines are gathered before they are written, in milliseconds; each write is a system call. */
-const gatherMs = 100;
+/** How long lines are buffered before they are written; each write is a system call. */
+const flushIntervalMs = 100;
 
-/** Bytes that may wait for a reader that has stopped reading; what comes beyond is dropped and counted. */
-const maxWaitingBytes = 256 * 1024;
+/** Maximum of buffered bytes while the reader has stopped reading; lines above it are dropped and counted. */
+const maxBufferedBytes = 256 * 1024;
 
 /**
- * Gathers log lines and bounds them.
+ * Creates a sink that buffers log lines and limits their rate.
  *
- * A day at full load makes hundreds of lines a second, and a reader of the pipe may stop. Written one by one they cost
- * more than the decisions they tell of; written without a bound they fill the memory until the process is killed, or
- * block it. So lines are written in groups, each kind has a budget a second, and what is left out is counted in a line.
- * Each write holds whole lines and is small enough that a pipe takes it at once.
+ * At full load the daemon logs hundreds of lines per second, and the reader of the pipe may stop. Writing lines one by
+ * one costs more than making the decisions that they report. Without a limit, buffered lines fill the memory until the
+ * process is killed, or writes block the process. The sink therefore writes lines in batches, limits each kind per
+ * second, and logs the number of dropped lines in a line of its own. Each write holds whole lines and is small enough
+ * that a pipe accepts it in one piece.
  */
 export function createLineSink(opts: LineSinkOptions): LineSink {
-    let gathered: string[] = [];
-    let gatheredBytes = 0;
-    let droppedCount = 0;
-    let reportedCount = 0;
+    let buffered: string[] = [];
+    let bufferedBytes = 0;
+    let droppedTotal = 0;
+    let reportedTotal = 0;
     let isBlocked = false;
     let counts = new Map<string, number>();
     opts.output.on("drain", () => isBlocked = false);
 
     function flush(): void {
-        if (droppedCount > reportedCount) {
-            const line = { level: "info", message: "linesDropped", lines: droppedCount - reportedCount };
-            gathered.push(`${JSON.stringify({ ...line, timestamp: new Date().toISOString() })}\n`);
-            reportedCount = droppedCount;
+        if (droppedTotal > reportedTotal) {
+            const line = { level: "info", message: "linesDropped", lines: droppedTotal - reportedTotal };
+            buffered.push(`${JSON.stringify({ ...line, timestamp: new Date().toISOString() })}\n`);
+            reportedTotal = droppedTotal;
         }
-        if (gathered.length > 0 && !isBlocked) {
-            for (const block of toBlocks(gathered)) {
+        if (buffered.length > 0 && !isBlocked) {
+            for (const block of toBlocks(buffered)) {
                 isBlocked = !opts.output.write(block);
             }
-            gathered = [];
-            gatheredBytes = 0;
+            buffered = [];
+            bufferedBytes = 0;
         }
     }
 
-    const flushTimer = setInterval(flush, gatherMs);
-    const budgetTimer = setInterval(() => counts = new Map(), 1000);
+    const flushTimer = setInterval(flush, flushIntervalMs);
+    const rateLimitTimer = setInterval(() => counts = new Map(), 1000);
     flushTimer.unref();
-    budgetTimer.unref();
+    rateLimitTimer.unref();
 
     return {
         take(kind) {
             const count = (counts.get(kind) ?? 0) + 1;
             counts.set(kind, count);
-            const isTaken = opts.isUnbounded(kind) || count <= opts.linesPerSecond;
-            droppedCount += isTaken ? 0 : 1;
-            return isTaken;
+            const isAccepted = opts.isUnbounded(kind) || count <= opts.linesPerSecond;
+            droppedTotal += isAccepted ? 0 : 1;
+            return isAccepted;
         },
         stream: new Writable({
             decodeStrings: false,
             write(line: string | Buffer, _encoding, done) {
-                if (gatheredBytes + line.length > maxWaitingBytes) {
-                    droppedCount++;
+                if (bufferedBytes + line.length > maxBufferedBytes) {
+                    droppedTotal++;
                 }
                 else {
-                    gathered.push(String(line));
-                    gatheredBytes += line.length;
+                    buffered.push(String(line));
+                    bufferedBytes += line.length;
                 }
                 done();
             },
         }),
-        dropped: () => droppedCount,
+        dropped: () => droppedTotal,
         flush,
         close() {
             clearInterval(flushTimer);
-            clearInterval(budgetTimer);
+            clearInterval(rateLimitTimer);
             flush();
         },
     };
 }
 
-/** Bytes that a pipe takes at once: a write of at most this many is not mixed with others and not cut. */
+/** Largest atomic write to a pipe, in bytes: a write up to this size is neither interleaved with others nor split. */
 const maxBlockBytes = 4096;
 
-/** Joins whole lines to blocks that a pipe takes at once. */
+/** Joins whole lines into blocks that a pipe accepts in one write. */
 function toBlocks(lines: readonly string[]): readonly string[] {
     const blocks: string[] = [];
     let block = "";
--- a/src/logging/createReporter.ts
+++ b/src/logging/createReporter.ts
@@ -4,27 +4,27 @@
 
 export interface ReporterOptions {
     readonly level: string;
-    /** Fields that every line carries, such as the boot and the zone. */
+    /** Fields added to every line, such as the boot and the zone. */
     readonly fields: Readonly<Record<string, string>>;
 }
 
-/** Takes typed events and renders them. */
+/** Writes a typed event to the log. */
 export type Reporter = (event: LogEvent) => void;
 
-/** A reporter over a sink that can be looked at and emptied. */
+/** A reporter together with its sink, which callers can flush and whose dropped lines they can read. */
 export interface BufferedReporter {
     readonly report: Reporter;
     readonly sink: LineSink;
 }
 
 /**
- * Lines of one kind a second. At the peak of a turn an owner of today's size decides about 150 starts a second and takes
- * in as many ends; above that the lines of a second are a sample.
+ * Rate limit for lines of one kind. At peak load, the leader of a fleet of the present size decides about 150 starts
+ * per second and receives as many ends. Above the limit, the lines of a second are a sample.
  */
 const linesPerSecond = 300;
 
-/** Lines that are never left out: without them a failed request can't be explained. */
-const unboundedKinds = new Set([
+/** Kinds that are never dropped: without them a failed request cannot be explained. */
+const exemptKinds = new Set([
     "duty",
     "dependency",
     "machineOrder",
@@ -35,17 +35,17 @@
     "started",
 ]);
 
-/** Writes each event as one JSON line to standard output, in groups and within a budget. */
+/** Writes each event as one JSON line to standard output, in batches and within a rate limit. */
 export function createBufferedReporter(opts: ReporterOptions): BufferedReporter {
     const sink = createLineSink({
         output: process.stdout,
         linesPerSecond,
-        isUnbounded: (kind) => unboundedKinds.has(kind),
+        isUnbounded: (kind) => exemptKinds.has(kind),
     });
     const logger = createLogger({
         level: opts.level,
         defaultMeta: opts.fields,
-        // The library's own rendering sorts the fields of each line, which takes twice the time of all the rest.
+        // winston's own JSON format sorts the fields of each line, which takes twice as long as all the rest together.
         format: format.combine(format.timestamp(), format.printf((line) => JSON.stringify(line))),
         transports: [new transports.Stream({ stream: sink.stream })],
     });
--- a/src/logging/logEvent.ts
+++ b/src/logging/logEvent.ts
@@ -1,33 +1,33 @@
-/** What an owner goes by when it gives a run up. */
+/** Evidence on which a leader drops a run, that is, no longer counts it as running. */
 export interface DropEvidence {
-    /** Whether the worker has shown what it runs to this owner. */
+    /** Whether the worker has reported its run list to this leader. */
     readonly runList: "unread" | "read";
-    /** Age of the tenure, which bounds earlier owners' leases until the list has been read. */
+    /** Age of the tenure. Until the run list has been read, it bounds the leases granted by earlier leaders. */
     readonly tenureAgeMs: number;
-    /** Time since the worker last answered any call of this owner; `undefined`: it never did. */
+    /** Time since the worker last answered any call of this leader; `undefined` if it never did. */
     readonly silentMs: number | undefined;
     /** Call whose answer gave the latest reading of the worker's clock, and the age of that reading. */
     readonly clockFrom: string | undefined;
     readonly clockAgeMs: number | undefined;
-    /** What was left of the longest lease, by the earliest that the worker's clock could show; not known while unread. */
+    /** Time left of the longest lease, by the earliest possible time of the worker's clock; unknown while unread. */
     readonly leaseLeftMs: number | undefined;
 }
 
-/** Everything that parts of the daemon may log; a key or a payload is never among the fields. */
+/** Every event that the daemon logs. No field ever holds a key or a payload. */
 export type LogEvent =
     | { readonly kind: "started"; readonly boot: string; readonly zone: string; readonly region: string; }
     | { readonly kind: "stopping"; readonly runningTasks: number; }
     | { readonly kind: "stopped"; }
     | { readonly kind: "configurationApplied"; readonly revision: number; }
-    /** Operators ask that the workers of an availability zone are sent nothing new, or take it back. */
+    /** Operators begin or end an evacuation: meanwhile the workers of the availability zone are sent nothing new. */
     | { readonly kind: "evacuation"; readonly zone: string; readonly change: "begun" | "ended"; }
-    /** The platform holds an older value than this entry has seen, as after a restored backup. */
+    /** The platform returned an older value than this entry has seen before, as after a restore from a backup. */
     | { readonly kind: "platformWentBack"; readonly key: string; }
-    /** A value or message that is malformed, of another version, or contradicts what is known; it was not applied. */
+    /** A value or message was not applied: it is malformed, of another version, or contradicts what is known. */
     | { readonly kind: "valueRefused"; readonly key: string; readonly detail: string; }
-    /** Somebody has proved this running boot gone; it must serve no longer. */
+    /** Another party proved that this boot has ended although it still runs; it must stop serving. */
     | { readonly kind: "removedFromRecord"; readonly boot: string; }
-    /** Neither the platform nor any peer was heard for `isolatedAfterMs`; known keys and configuration serve on. */
+    /** Neither the platform nor a peer was heard for `isolatedAfterMs`; known keys and configuration stay in use. */
     | { readonly kind: "isolated"; readonly silentMs: number; }
     | { readonly kind: "rejoined"; readonly silentMs: number; }
     | {
@@ -131,7 +131,7 @@
         readonly worker: string;
         readonly how: string;
     }
-    /** A run was given up as one of which nothing can run any more. */
+    /** The leader dropped a run because nothing of it can still be running. */
     | (DropEvidence & {
         readonly kind: "runDropped";
         readonly task: string;
@@ -140,7 +140,7 @@
         readonly cause: string;
         readonly reason: string;
     })
-    /** A worker lists a run, or its end, that this owner had given up: it ran on after its task could start again. */
+    /** A worker lists a dropped run, or its end: the run continued after the leader could start its task again. */
     | {
         readonly kind: "runReappeared";
         readonly task: string;
@@ -151,7 +151,7 @@
         /** Number of the task's latest run. */
         readonly lastRun: number;
     }
-    /** A worker lists a run that belongs to no task any more; it is told to stop. */
+    /** A worker lists a run that no longer belongs to a task; the leader tells the worker to stop it. */
     | { readonly kind: "stray"; readonly task: string; readonly run: number; readonly worker: string; }
     | {
         readonly kind: "workerEnded";
@@ -168,23 +168,23 @@
         readonly token: number;
         readonly outcome: string;
     }
-    /** Room of a pool, once a second; processors in whole cores. */
+    /** Capacity of a pool and its use, logged once a second; processors in whole cores. */
     | {
         readonly kind: "room";
         readonly pool: string;
         readonly workers: number;
-        /** Workers that run nothing, and those that run only tasks that last. */
+        /** Workers that run nothing, and workers that run only long-running tasks. */
         readonly emptyWorkers: number;
         readonly stayingWorkers: number;
         readonly cores: number;
         readonly longRunningCores: number;
         readonly shortCores: number;
         readonly waitingCores: number;
-        /** What the pool needs by when a machine that is sent now has joined, beside tasks that last. */
+        /** Cores needed, besides those of long-running tasks, by the time a machine ordered now has joined the pool. */
         readonly neededCores: number;
         readonly comingCores: number;
     }
-    /** The platform's list shows a machine in another state, pool or life than before. */
+    /** The platform lists a machine with another state, pool or incarnation than before. */
     | {
         readonly kind: "machine";
         readonly machine: string;
--- a/src/logging/test/logging.steps.ts
+++ b/src/logging/test/logging.steps.ts
@@ -19,7 +19,7 @@
     world.sink = createLineSink({ output, linesPerSecond: 10, isUnbounded: (kind) => kind === "duty" });
 }
 
-Given("a sink that takes {int} lines of a kind a second", function(this: World, _count: number) {
+Given("a sink that accepts {int} lines of a kind per second", function(this: World, _count: number) {
     createSink(
         this,
         new Writable({
@@ -32,12 +32,12 @@
     );
 });
 
-Given("a sink whose reader has stopped", function(this: World) {
+Given("a sink whose reader has stopped reading", function(this: World) {
     createSink(
         this,
         new Writable({
             write: (chunk) => {
-                // The chunk is never reported as written, as with a full pipe.
+                // The write never completes, as with a full pipe.
                 this.written += String(chunk);
             },
         }),
@@ -45,7 +45,7 @@
 });
 
 When(
-    "{int} lines of {string} and {int} line(s) of {string} come",
+    "{int} lines of {string} and {int} line(s) of {string} are logged",
     function(this: World, count: number, kind: string, others: number, other: string) {
         const kinds = [...Array.from({ length: count }, () => kind), ...Array.from({ length: others }, () => other)];
         for (const [at, each] of kinds.entries()) {
@@ -64,20 +64,20 @@
     assert.equal(this.written.split("\n").filter((line) => line.endsWith(" line")).length, count);
 });
 
-Then("{int} lines are counted as left out", function(this: World, count: number) {
+Then("{int} lines are counted as dropped", function(this: World, count: number) {
     assert.equal(this.sink.dropped(), count);
     assert.ok(this.written.includes("\"lines\":90"));
 });
 
-Then("each write ends with a line and has at most {int} bytes", function(this: World, most: number) {
+Then("each write ends at the end of a line and has at most {int} bytes", function(this: World, max: number) {
     assert.ok(this.writes.length > 1);
-    assert.deepEqual(this.writes.filter((text) => !text.endsWith("\n") || text.length > most), []);
+    assert.deepEqual(this.writes.filter((text) => !text.endsWith("\n") || text.length > max), []);
 });
 
-Then("at most {int} KB wait", function(this: World, most: number) {
-    assert.ok(this.written.length < most * 1024, `${this.written.length} bytes`);
+Then("at most {int} KB are buffered", function(this: World, max: number) {
+    assert.ok(this.written.length < max * 1024, `${this.written.length} bytes`);
 });
 
-Then("lines are counted as left out", function(this: World) {
+Then("lines are counted as dropped", function(this: World) {
     assert.ok(this.sink.dropped() > 0);
 });
--- a/src/logs/index.ts
+++ b/src/logs/index.ts
@@ -1,4 +1,4 @@
-/** What the entries' logs tell afterwards: of one submission, of machine time, of a whole day. */
+/** Analysis of the entries' logs: the timeline of one submission, the use of machine time, the summary of a day. */
 export { drawDay } from "./drawDay";
 export { explainSubmission, renderLogLine, type SubmissionStory } from "./explainSubmission";
 export { type LogLine, readLogLines } from "./readLogLines";
--- a/src/logs/readLogLines.ts
+++ b/src/logs/readLogLines.ts
@@ -11,12 +11,12 @@
     readonly [field: string]: unknown;
 }
 
-/** Reads the log lines of files, in order of time; whatever else they hold is named on standard error and left out. */
+/** Reads the log lines of files in chronological order. Lines that cannot be parsed are skipped and named on stderr. */
 export async function readLogLines(files: readonly string[]): Promise<readonly LogLine[]> {
     return sortByTime((await Promise.all(files.map(readFile))).flat());
 }
 
-/** When a line was written, in seconds since 1970. */
+/** Time at which a line was written, in seconds since 1970. */
 export function logSeconds({ timestamp }: LogLine): number {
     return Date.parse(timestamp) / 1000;
 }
@@ -28,7 +28,7 @@
 async function readFile(file: string): Promise<readonly LogLine[]> {
     const lines: LogLine[] = [];
     for await (const text of createInterface({ input: createReadStream(file) })) {
-        // Collectors put their own prefix before the JSON of a line.
+        // Log collectors put their own prefix before the JSON of a line.
         const at = text.indexOf("{");
         try {
             if (at >= 0) {
@@ -36,7 +36,7 @@
             }
         }
         catch {
-            process.stderr.write(`left out, not a log line: ${text.slice(0, 80)}\n`);
+            process.stderr.write(`skipped, not a log line: ${text.slice(0, 80)}\n`);
         }
     }
     return lines;
--- a/src/logs/test/logs.feature
+++ b/src/logs/test/logs.feature
@@ -1,32 +1,32 @@
-Feature: What the logs tell afterwards
+Feature: Analysis of the entries' logs
 
-    Scenario: the story of a submission
+    Scenario: explaining a submission
         Given the logs of two entries
         When submission "5c0e7a21d94b36f8" is explained
         Then 3 lines are about it
-        And the lines around it are "duty, evacuation, workerEnded"
-        And the story is in order of time
+        And the related lines are "duty, evacuation, workerEnded"
+        And all lines are in chronological order
 
-    Scenario: where machine time went
+    Scenario: use of machine time
         Given the logs of two entries
         When machine time is summed up
-        Then pool "stalls" had 4 s of empty machines and 2 s of machines at work
-        And 1 machine that joined found work at once, and 1 none
-        And nobody decided for 2 s
+        Then pool "stalls" had 4 s of empty machines and 2 s of working machines
+        And 1 machine that joined got work promptly, and 1 got none
+        And there was no leader for 2 s
 
-    Scenario: a day at a glance
+    Scenario: summary of a day
         Given the logs of two entries
-        When the day is traced
-        Then its traces hold "submissions a second: r-1" and "cores that wait: stalls"
+        When the day is summarized
+        Then its time series include "submissions a second: r-1" and "cores that wait: stalls"
         And its events are "duty gained, evacuation begun, duty lost, duty gained"
-        And it can be drawn
+        And it can be rendered
 
-    Scenario: lines that can't be read
-        Guards against an analysis that ends at a line which was cut.
+    Scenario: lines that cannot be parsed
+        Guards against an analysis that stops at a truncated line.
 
-        Given a log file with a line that was cut
+        Given a log file with a truncated line
         Then the other lines are read
 
-    Scenario: no lines at all
-        When the day of no lines is traced
-        Then it has no traces and no events
+    Scenario: no log lines
+        When a day without log lines is summarized
+        Then it has no time series and no events
--- a/src/logs/test/logs.steps.ts
+++ b/src/logs/test/logs.steps.ts
@@ -17,7 +17,7 @@
 
 interface World {
     lines: readonly LogLine[];
-    told: SubmissionStory;
+    explained: SubmissionStory;
     time: MachineTime;
     day: DayTrace;
 }
@@ -28,7 +28,7 @@
     return { timestamp: new Date(Date.UTC(2026, 0, 1) + atS * 1000).toISOString(), message, instance, ...fields };
 }
 
-function room(atS: number, workers: number, emptyWorkers: number): LogLine {
+function roomLine(atS: number, workers: number, emptyWorkers: number): LogLine {
     const cores = { cores: workers * 16, shortCores: 16, longRunningCores: 0, waitingCores: 8, neededCores: 8 };
     return line(atS, "room", { pool: "stalls", workers, emptyWorkers, stayingWorkers: 0, ...cores });
 }
@@ -45,13 +45,13 @@
         line(1.5, "evacuation", { zone: "zone-a", change: "begun" }, "entry-2"),
         line(1.6, "machineOrder", { order: "move", machine: "machine-2" }),
         line(1.6, "machineOrder", { order: "move", machine: "machine-3" }),
-        room(2, 3, 2),
+        roomLine(2, 3, 2),
         line(2.5, "workerEnded", { worker: "worker-1", reason: "gone" }),
         line(2.6, "workerEnded", { worker: "worker-9", reason: "gone" }),
         line(3, "machine", { machine: "machine-2", state: "up", worker: "worker-2" }),
         line(3, "machine", { machine: "machine-3", state: "up", worker: "worker-3" }),
         line(3.4, "order", { order: "start", task: "1".repeat(16), worker: "worker-2" }),
-        room(4, 1, 1),
+        roomLine(4, 1, 1),
         line(4, "duty", { change: "lost", reason: "another entry holds the duty" }),
         line(6, "duty", { change: "gained", reason: "vacant" }, "entry-2"),
         line(7, "submission", { submission: id, change: "complete", route: "r-1" }, "entry-2"),
@@ -59,20 +59,20 @@
 });
 
 When("submission {string} is explained", function(this: World, submission: string) {
-    this.told = explainSubmission(this.lines, submission);
+    this.explained = explainSubmission(this.lines, submission);
 });
 
 Then("{int} lines are about it", function(this: World, count: number) {
-    assert.equal(this.told.own.length, count);
+    assert.equal(this.explained.own.length, count);
 });
 
-Then("the lines around it are {string}", function(this: World, kinds: string) {
-    assert.equal([...new Set(this.told.around.map(({ message }) => message))].sort().join(", "), kinds);
-    assert.ok(this.told.around.every(({ worker }) => worker !== "worker-9"));
+Then("the related lines are {string}", function(this: World, kinds: string) {
+    assert.equal([...new Set(this.explained.around.map(({ message }) => message))].sort().join(", "), kinds);
+    assert.ok(this.explained.around.every(({ worker }) => worker !== "worker-9"));
 });
 
-Then("the story is in order of time", function(this: World) {
-    const times = this.told.story.map(({ timestamp }) => timestamp);
+Then("all lines are in chronological order", function(this: World) {
+    const times = this.explained.story.map(({ timestamp }) => timestamp);
     assert.deepEqual(times, [...times].sort());
 });
 
@@ -81,7 +81,7 @@
 });
 
 Then(
-    "pool {string} had {int} s of empty machines and {int} s of machines at work",
+    "pool {string} had {int} s of empty machines and {int} s of working machines",
     function(this: World, pool: string, empty: number, working: number) {
         const time = this.time.pools.get(pool);
         assert.deepEqual([time?.emptyS, time?.workingS], [empty, working]);
@@ -89,21 +89,21 @@
 );
 
 Then(
-    "{int} machine that joined found work at once, and {int} none",
+    "{int} machine that joined got work promptly, and {int} got none",
     function(this: World, prompt: number, never: number) {
         assert.deepEqual(this.time.joined, { prompt, later: 0, never });
     },
 );
 
-Then("nobody decided for {int} s", function(this: World, seconds: number) {
+Then("there was no leader for {int} s", function(this: World, seconds: number) {
     assert.deepEqual(this.time.vacancies.map(({ lastedS }) => lastedS), [seconds]);
 });
 
-When("the day is traced", function(this: World) {
+When("the day is summarized", function(this: World) {
     this.day = traceDay(this.lines);
 });
 
-Then("its traces hold {string} and {string}", function(this: World, first: string, second: string) {
+Then("its time series include {string} and {string}", function(this: World, first: string, second: string) {
     const names = this.day.traces.map(({ name }) => name);
     assert.ok(names.includes(first) && names.includes(second), names.join(", "));
 });
@@ -113,13 +113,13 @@
     assert.equal(words.join(", "), expected);
 });
 
-Then("it can be drawn", function(this: World) {
+Then("it can be rendered", function(this: World) {
     const svg = drawDay(this.day);
     assert.equal(svg.match(/<title>/g)?.length, this.day.events.length);
     assert.ok(!svg.includes("NaN"));
 });
 
-Given("a log file with a line that was cut", async function(this: World) {
+Given("a log file with a truncated line", async function(this: World) {
     const folder = mkdtempSync(join(tmpdir(), "logs-"));
     const file = join(folder, "entry.log");
     const [first, second] = [line(0, "duty", { change: "gained" }), line(1, "duty", { change: "lost" })];
@@ -132,10 +132,10 @@
     assert.deepEqual(this.lines.map((each) => each["change"]), ["gained", "lost"]);
 });
 
-When("the day of no lines is traced", function(this: World) {
+When("a day without log lines is summarized", function(this: World) {
     this.day = traceDay([]);
 });
 
-Then("it has no traces and no events", function(this: World) {
+Then("it has no time series and no events", function(this: World) {
     assert.deepEqual(this.day, { traces: [], events: [] });
 });
--- a/src/logs/traceDay.ts
+++ b/src/logs/traceDay.ts
@@ -1,26 +1,26 @@
 import { type LogLine, logSeconds } from "./readLogLines";
 
-/** Figures over time, one for each second. */
+/** Values over time, one per second. */
 export interface Trace {
     readonly name: string;
-    /** Pairs of seconds since the first line, and the value. */
+    /** Pairs of the time in seconds since the first line and the value. */
     readonly points: readonly (readonly [number, number])[];
 }
 
-/** Something that began, ended or was lost. */
+/** A change of leadership, an evacuation, or the loss or recovery of the store. */
 export interface DayEvent {
     readonly atS: number;
     readonly text: string;
 }
 
-/** A day at a glance: what came, what waited, what machines did, and what went wrong. */
+/** Summary of a day: arrivals, waiting work, use of machines, and failures. */
 export interface DayTrace {
     readonly traces: readonly Trace[];
     readonly events: readonly DayEvent[];
 }
 
-/** Fields of a pool's line each second, and the traces that they make. */
-const poolFields = {
+/** Names of the time series of a pool, and the fields that they are read from in its line of each second. */
+const poolSeries = {
     "cores that wait": "waitingCores",
     "cores needed": "neededCores",
     "cores of the pool": "cores",
@@ -33,44 +33,44 @@
     if (first === undefined) {
         return { traces: [], events: [] };
     }
-    const secondsOf = (line: LogLine) => logSeconds(line) - logSeconds(first);
+    const elapsedS = (line: LogLine) => logSeconds(line) - logSeconds(first);
     return {
-        traces: [...traceArrivals(lines, secondsOf), ...tracePools(lines, secondsOf)],
-        events: lines.flatMap((line) => describeEvent(line, secondsOf(line))),
+        traces: [...summarizeArrivals(lines, elapsedS), ...summarizePools(lines, elapsedS)],
+        events: lines.flatMap((line) => describeEvent(line, elapsedS(line))),
     };
 }
 
-type SecondsOf = (line: LogLine) => number;
+type ElapsedS = (line: LogLine) => number;
 
-function traceArrivals(lines: readonly LogLine[], secondsOf: SecondsOf): readonly Trace[] {
+function summarizeArrivals(lines: readonly LogLine[], elapsedS: ElapsedS): readonly Trace[] {
     const counts = new Map<string, Map<number, number>>();
     for (const line of lines) {
         if (line.message === "submission" && line["change"] === "taken") {
-            const route = String(line["route"]);
-            const second = Math.floor(secondsOf(line));
-            const bySecond = counts.get(route) ?? new Map<number, number>();
-            counts.set(route, bySecond.set(second, (bySecond.get(second) ?? 0) + 1));
+            const queue = String(line["route"]);
+            const second = Math.floor(elapsedS(line));
+            const bySecond = counts.get(queue) ?? new Map<number, number>();
+            counts.set(queue, bySecond.set(second, (bySecond.get(second) ?? 0) + 1));
         }
     }
-    return [...counts].map(([route, bySecond]) => ({
-        name: `submissions a second: ${route}`,
+    return [...counts].map(([queue, bySecond]) => ({
+        name: `submissions a second: ${queue}`,
         points: [...bySecond].sort(([a], [b]) => a - b),
     }));
 }
 
-function tracePools(lines: readonly LogLine[], secondsOf: SecondsOf): readonly Trace[] {
-    const rooms = lines.filter(({ message }) => message === "room");
-    const pools = [...new Set(rooms.map((line) => String(line["pool"])))];
-    return Object.entries(poolFields).flatMap(([name, field]) =>
+function summarizePools(lines: readonly LogLine[], elapsedS: ElapsedS): readonly Trace[] {
+    const poolLines = lines.filter(({ message }) => message === "room");
+    const pools = [...new Set(poolLines.map((line) => String(line["pool"])))];
+    return Object.entries(poolSeries).flatMap(([name, field]) =>
         pools.map((pool) => ({
             name: `${name}: ${pool}`,
-            points: rooms.filter((line) => line["pool"] === pool)
-                .map((line) => [secondsOf(line), Number(line[field])] as const),
+            points: poolLines.filter((line) => line["pool"] === pool)
+                .map((line) => [elapsedS(line), Number(line[field])] as const),
         }))
     );
 }
 
-/** Each entry tells of an evacuation or a lost store; the first line of a change is the event. */
+/** Every entry logs evacuations and losses of the store, so one change gives one event per entry. */
 function describeEvent(line: LogLine, atS: number): readonly DayEvent[] {
     switch (line.message) {
         case "duty":
--- a/src/metrics/createEventMetrics.ts
+++ b/src/metrics/createEventMetrics.ts
@@ -1,20 +1,20 @@
 import { collectDefaultMetrics, Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { LogEvent } from "../logging";
 
-/** Readings that are taken when the metrics are asked for. */
+/** Values read when the metrics are collected. */
 export interface MetricReadings {
     /** Age of the configuration in force, in milliseconds. */
     policyAgeMs(): number | undefined;
     /** Number of availability zones under evacuation. */
     evacuatedZones(): number;
-    /** Token of the duty while this entry holds it. */
+    /** Fencing token of the tenure while this entry is the leader. */
     dutyToken(): number | undefined;
     droppedLines(): number;
     openRequests(): number;
 }
 
 export interface EventMetrics {
-    /** Counts what the event tells. */
+    /** Updates the metrics that belong to the event. */
     count(event: LogEvent): void;
     text(): Promise<string>;
 }
@@ -22,7 +22,7 @@
 const waitBucketsSeconds = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16];
 const submissionBucketsSeconds = [0.25, 0.5, 1, 1.5, 2, 3, 4, 6, 10, 20, 60];
 
-/** Metrics of a daemon on the users' platform, made from the same events as its log lines. */
+/** Creates the metrics of a daemon on the users' platform; they are updated from the same events as its log lines. */
 export function createEventMetrics(readings: MetricReadings): EventMetrics {
     const registry = new Registry();
     const registers = [registry];
@@ -31,34 +31,34 @@
     collectDefaultMetrics({ register: registry, prefix: "samphirepin_" });
     const requests = counter(
         "requests",
-        "Clients' requests that were not plain reads, by outcome",
+        "Client requests other than plain reads, by outcome",
         "action",
         "outcome",
     );
-    const orders = counter("orders", "Starts and stops sent to workers, by outcome", "order", "outcome");
-    const ends = counter("ends", "Ends that workers have listed", "how");
-    const dropped = counter("runs_dropped", "Runs given up without an end listed by their worker, by cause", "cause");
-    const reappeared = counter("runs_reappeared", "Runs given up that their worker listed later, by state", "state");
-    const submissions = counter("submissions", "Submissions taken and ended by this owner", "change");
-    const machineOrders = counter("machine_orders", "Moves and upkeeps, by outcome", "order", "outcome");
-    const duties = counter("duty_changes", "Changes of the scheduling duty", "change");
-    const dependencies = counter("dependency_changes", "Stores and workers lost and regained", "state");
+    const orders = counter("orders", "Start and stop requests sent to workers, by outcome", "order", "outcome");
+    const ends = counter("ends", "Ends of runs listed by workers", "how");
+    const dropped = counter("runs_dropped", "Runs dropped without an end listed by their worker, by cause", "cause");
+    const reappeared = counter("runs_reappeared", "Dropped runs that their worker listed later, by state", "state");
+    const submissions = counter("submissions", "Submissions accepted and ended by this leader", "change");
+    const machineOrders = counter("machine_orders", "Machine moves and maintenance, by outcome", "order", "outcome");
+    const duties = counter("duty_changes", "Changes of leadership of the scheduler", "change");
+    const dependencies = counter("dependency_changes", "Losses and recoveries of stores and workers", "state");
     const startWait = new Histogram({
         name: "samphirepin_start_wait_seconds",
-        help: "From the decision to start a task to the worker's answer",
+        help: "Time from the decision to start a task to the worker's answer",
         buckets: waitBucketsSeconds,
         registers,
     });
     const submissionTime = new Histogram({
         name: "samphirepin_submission_seconds",
-        help: "From accepting a submission to its end",
+        help: "Time from the acceptance of a submission to its end",
         labelNames: ["change"],
         buckets: submissionBucketsSeconds,
         registers,
     });
-    const room = new Gauge({
+    const poolCores = new Gauge({
         name: "samphirepin_pool_cores",
-        help: "Processors of a pool: of its workers, in use, waited for, on their way",
+        help: "Processors of a pool in cores: of its workers, in use, demanded by waiting tasks, joining",
         labelNames: ["pool", "part"],
         registers,
     });
@@ -73,13 +73,17 @@
         });
     gauge(
         "policy_age_seconds",
-        "Age of the configuration; -1 before the first",
+        "Age of the configuration; -1 before the first one",
         () => (readings.policyAgeMs() ?? -1000) / 1000,
     );
     gauge("evacuated_zones", "Availability zones whose workers are sent nothing new", readings.evacuatedZones);
-    gauge("duty_token", "Token of the duty held; 0 for none", () => readings.dutyToken() ?? 0);
-    gauge("log_lines_dropped", "Log lines left out since the start", readings.droppedLines);
-    gauge("open_requests", "Clients' requests under way", readings.openRequests);
+    gauge(
+        "duty_token",
+        "Fencing token of the leader; 0 if this entry is not the leader",
+        () => readings.dutyToken() ?? 0,
+    );
+    gauge("log_lines_dropped", "Log lines dropped since the start", readings.droppedLines);
+    gauge("open_requests", "Client requests in progress", readings.openRequests);
 
     return {
         count(event) {
@@ -118,11 +122,11 @@
                     dependencies.inc({ state: event.state });
                     return;
                 case "room":
-                    room.set({ pool: event.pool, part: "all" }, event.cores);
-                    room.set({ pool: event.pool, part: "longRunning" }, event.longRunningCores);
-                    room.set({ pool: event.pool, part: "short" }, event.shortCores);
-                    room.set({ pool: event.pool, part: "waiting" }, event.waitingCores);
-                    room.set({ pool: event.pool, part: "coming" }, event.comingCores);
+                    poolCores.set({ pool: event.pool, part: "all" }, event.cores);
+                    poolCores.set({ pool: event.pool, part: "longRunning" }, event.longRunningCores);
+                    poolCores.set({ pool: event.pool, part: "short" }, event.shortCores);
+                    poolCores.set({ pool: event.pool, part: "waiting" }, event.waitingCores);
+                    poolCores.set({ pool: event.pool, part: "coming" }, event.comingCores);
                     return;
                 default:
             }
--- a/src/pacing/choosePace.ts
+++ b/src/pacing/choosePace.ts
@@ -1,36 +1,36 @@
-/** A serving task beside fillers: its latency against what its users should see. */
+/** Latency of a serving task that shares a worker with fillers, and its target. */
 export interface ServingReading {
     readonly latencyMs: number;
     readonly targetMs: number;
 }
 
-/** Above this part of the target fillers step back by half: the figure is an average and lags half a second. */
-const tightShare = 0.85;
+/** Above this share of the target, fillers halve their pace: the latency is an average that lags by half a second. */
+const decreaseAboveShare = 0.85;
 
-/** Below this part of the target fillers may work more. */
-const easyShare = 0.65;
+/** Below this share of the target, fillers increase their pace. */
+const increaseBelowShare = 0.65;
 
-/** Steps up, in percent of a filler's full pace; from a standstill back to full takes ten readings. */
-const stepUpPercent = 10;
+/** Increase per reading, in percent of the full pace: from 0 to the full pace takes ten readings. */
+const increasePercent = 10;
 
-/** A filler slower than this hardly earns and still disturbs; it stands still. */
-const leastPercent = 10;
+/** A slower filler gains almost nothing and still slows its neighbors, so it is stopped. */
+const minPercent = 10;
 
 /**
- * The pace of the fillers on one worker.
+ * Returns the next pace of the fillers on one worker, in percent of their full pace.
  *
- * Fillers take the processor time that others leave and slow the serving tasks beside them. A serving task above its
- * target costs four times what a filler at work earns, so fillers stop at once when a target is missed, step back when
- * it is near and come back slowly.
+ * Fillers use the processor time that other tasks leave, and slow the serving tasks on the same worker. A serving task
+ * above its target costs four times what a running filler earns. Fillers therefore stop at once when a target is
+ * missed, halve their pace when a latency is close to its target, and increase their pace in small steps.
  */
 export function choosePace(currentPercent: number, serving: readonly ServingReading[]): number {
-    const worst = Math.max(0, ...serving.map(({ latencyMs, targetMs }) => latencyMs / targetMs));
-    if (worst > 1) {
+    const maxShare = Math.max(0, ...serving.map(({ latencyMs, targetMs }) => latencyMs / targetMs));
+    if (maxShare > 1) {
         return 0;
     }
-    if (worst > tightShare) {
+    if (maxShare > decreaseAboveShare) {
         const next = Math.floor(currentPercent / 2);
-        return next < leastPercent ? 0 : next;
+        return next < minPercent ? 0 : next;
     }
-    return worst < easyShare ? Math.min(100, currentPercent + stepUpPercent) : currentPercent;
+    return maxShare < increaseBelowShare ? Math.min(100, currentPercent + increasePercent) : currentPercent;
 }
--- a/src/pacing/index.ts
+++ b/src/pacing/index.ts
@@ -1,2 +1,2 @@
-/** How fast fillers work beside tasks that serve users. */
+/** Throttles fillers that share a worker with serving tasks. */
 export { choosePace, type ServingReading } from "./choosePace";
--- a/src/resources/index.ts
+++ b/src/resources/index.ts
@@ -1,2 +1,2 @@
-/** Sizes of tasks, machines and limits. */
+/** Resource amounts of tasks, machines and limits. */
 export type { Resources } from "./resources";
--- a/src/resources/resources.ts
+++ b/src/resources/resources.ts
@@ -1,4 +1,4 @@
-/** What a task occupies while it runs, a machine has, or a limit bounds. */
+/** Resources that a running task occupies, that a machine provides, or that a limit allows. */
 export interface Resources {
     /** Thousandths of a processor core. */
     readonly cpuMillis: number;
