--- a/src/dispatch/chooseWorker.ts
+++ b/src/dispatch/chooseWorker.ts
@@ -7,46 +7,46 @@
 export interface ChooseWorkerOptions {
     readonly loads: WorkerLoads;
     readonly health: WorkerHealth;
-    /** Most tasks of this entry on one worker: its part of the worker's connections. */
+    /** Maximum number of tasks of this entry on one worker: the entry's share of the worker's connections. */
     readonly tasksPerWorker: number;
     readonly isLeaving: (instance: string) => boolean;
     readonly isZoneReachable: (zone: string) => boolean;
-    /** From 0 up to 1. */
+    /** Returns a number from 0 (inclusive) to 1 (exclusive). */
     readonly random: () => number;
 }
 
 /**
- * Where a task may go.
+ * Result of placing a task.
  *
- * - `chosen`: this worker.
- * - `full`: no worker of the pool has a free slot.
- * - `tooLarge`: slots are free, but none with room for this size.
- * - `noneLeft`: every worker of the pool has been tried, is leaving, set aside or cannot be reached.
+ * - `chosen`: the task may go to this worker.
+ * - `full`: no eligible worker of the pool has a free slot.
+ * - `tooLarge`: slots are free, but no worker with a free slot has enough free resources.
+ * - `noneLeft`: every worker of the pool is excluded, leaving, ejected, or unreachable.
  */
 export type Choice =
     | { readonly kind: "chosen"; readonly instance: Instance; readonly reason: string; readonly candidates: number; }
     | { readonly kind: "full" | "tooLarge" | "noneLeft"; };
 
-/** What is asked for; without a size, any worker with a free slot will do. */
+/** Requirements for the worker; without a size, any worker with a free slot qualifies. */
 export interface Wanted {
     readonly size?: TaskSize;
     readonly tried?: ReadonlySet<string>;
-    /** Only a task that may run again is used to try a worker that was set aside. */
+    /** Only a repeatable task is used to probe a worker that was ejected. */
     readonly isRepeatable?: boolean;
 }
 
-type Verdict = "free" | "full" | "tooLarge" | "out";
+type Availability = "free" | "full" | "tooLarge" | "out";
 
 /**
- * Takes the better of two random workers of the nearest zone that has any free.
+ * Chooses the better of two random free workers in the nearest zone that has a free worker (power of two choices).
  *
- * All entries see the same late reports; if each took the least loaded worker, they would all choose the same one,
- * which then refuses most of them as busy. Two random choices keep them apart.
+ * All entries see the same delayed reports. If each chose the least loaded worker, all would choose the same one, and
+ * it would refuse most of them as busy. Two random choices spread the entries over the workers.
  */
 export function chooseWorker(pool: IndexedPool, wanted: Wanted, opts: ChooseWorkerOptions): Choice {
     const seen = { full: false, tooLarge: false };
 
-    function judge(instance: Instance): Verdict {
+    function checkAvailability(instance: Instance): Availability {
         if (wanted.tried?.has(instance.name) === true || opts.isLeaving(instance.name)) {
             return "out";
         }
@@ -64,26 +64,28 @@
         if (load.ownTasks >= opts.tasksPerWorker || load.ownTasks + load.otherTasks >= instance.slots) {
             return "full";
         }
-        return wanted.size === undefined || hasRoom(instance, load, wanted.size) ? "free" : "tooLarge";
+        return wanted.size === undefined || hasFreeCapacity(instance, load, wanted.size) ? "free" : "tooLarge";
     }
 
-    function findFree(instances: readonly Instance[], start: number, except?: Instance): Instance | undefined {
+    function findAvailable(instances: readonly Instance[], start: number, except?: Instance): Instance | undefined {
         for (let step = 0; step < instances.length; step++) {
             const instance = instances[(start + step) % instances.length]!;
             if (instance === except) {
                 continue;
             }
-            const verdict = judge(instance);
-            if (verdict === "free") {
+            const availability = checkAvailability(instance);
+            if (availability === "free") {
                 return instance;
             }
-            seen.full ||= verdict === "full";
-            seen.tooLarge ||= verdict === "tooLarge";
+            seen.full ||= availability === "full";
+            seen.tooLarge ||= availability === "tooLarge";
         }
         return undefined;
     }
 
-    /** Lower is better; a worker that waits to be tried again goes first, or it would never be. */
+    /**
+     * Returns a score; lower is better. A worker being probed comes first, because otherwise it might never get a task.
+     */
     function score(instance: Instance): number {
         if (opts.health.state(instance.name).kind === "probing") {
             return -1;
@@ -97,18 +99,20 @@
             continue;
         }
         const start = Math.floor(opts.random() * instances.length);
-        const one = findFree(instances, start);
-        if (one !== undefined) {
-            const two = findFree(instances, Math.floor(opts.random() * instances.length), one);
-            const instance = two !== undefined && score(two) < score(one) ? two : one;
-            const reason = two === undefined ? "the only one free in the zone" : "less loaded of two in the zone";
+        const first = findAvailable(instances, start);
+        if (first !== undefined) {
+            const second = findAvailable(instances, Math.floor(opts.random() * instances.length), first);
+            const instance = second !== undefined && score(second) < score(first) ? second : first;
+            const reason = second === undefined
+                ? "the only free worker in zone"
+                : "the less loaded of two workers in zone";
             return { kind: "chosen", instance, reason: `${reason} ${zone}`, candidates: instances.length };
         }
     }
     return { kind: seen.tooLarge ? "tooLarge" : seen.full ? "full" : "noneLeft" };
 }
 
-function hasRoom({ capacity }: Instance, load: WorkerLoad, size: TaskSize): boolean {
+function hasFreeCapacity({ capacity }: Instance, load: WorkerLoad, size: TaskSize): boolean {
     return load.ownProcessors + load.otherProcessors + size.processors <= capacity.processors
         && load.ownMemoryMb + load.otherMemoryMb + size.memoryMb <= capacity.memoryMb
         && load.ownAccelerators + load.otherAccelerators + size.accelerators <= capacity.accelerators;
--- a/src/dispatch/createAttempts.ts
+++ b/src/dispatch/createAttempts.ts
@@ -20,38 +20,41 @@
     readonly report: Reporter;
     readonly tries: Tries;
     readonly room: WaitingRoom;
-    /** Called when a slot that this entry used may be free again. */
+    /** Called when a slot that this entry used or had reserved may be free again. */
     readonly onFreed: (pool: string, freed: Freed) => void;
 }
 
 /** A slot that may be free again. */
 export interface Freed {
     readonly instance: Instance;
-    /** True where its task was stopped for others. */
+    /** True if its task was stopped to reclaim the slot for other tasks. */
     readonly isReclaimed: boolean;
 }
 
 export interface Attempts {
+    /** Adds to the retry budget for a task that arrives. */
     noteRequest(): void;
-    /** Claims, checks, sends and ends one try, or puts the task back for another. */
+    /** Claims the task, checks it, and runs one attempt; then ends the task or requeues it. */
     attempt(waiting: WaitingTask, choice: Chosen, hold: Hold): Promise<void>;
 }
 
 type Chosen = Extract<Choice, { kind: "chosen"; }>;
 
-const maxTries = 3;
+/** Most attempts of one task that workers may have started; beyond it, a failure is final. */
+const maxAttempts = 3;
 
+/** Creates a runner of single attempts: it runs them, records their results, and retries within a budget. */
 export function createAttempts(opts: AttemptsOptions): Attempts {
-    const { pools, shares, report, tries, room, loads } = opts;
-    const budget = createRetryBudget();
+    const { pools, shares, report, tries: leasedAttempts, room: admissionQueue, loads } = opts;
+    const retryBudget = createRetryBudget();
 
-    async function attempt(
+    async function runAttempt(
         waiting: WaitingTask,
         { instance, reason, candidates }: Chosen,
         hold: Hold,
     ): Promise<void> {
         const { task } = waiting;
-        const one = tries.begin(waiting, instance, hold);
+        const attempt = leasedAttempts.begin(waiting, instance, hold);
         loads.take(instance.name, task.size);
         shares.addRunning(task.pool, task.team, task.size);
         if (waiting.turns++ === 0) {
@@ -60,8 +63,8 @@
         const problem = await claim(waiting);
         const end = problem ?? checkBeforeSend(waiting, instance);
         if (end !== undefined) {
-            tries.drop(one);
-            giveBack(one);
+            leasedAttempts.drop(attempt);
+            release(attempt);
             settle(waiting, end);
             return;
         }
@@ -69,7 +72,7 @@
         report({
             kind: "placed",
             requestId,
-            attempt: one.attempt,
+            attempt: attempt.attempt,
             team,
             pool,
             instance: instance.name,
@@ -77,20 +80,20 @@
             candidates,
         });
         const startedAtMs = performance.now();
-        const result = await tries.run(one);
+        const result = await leasedAttempts.run(attempt);
         const durationMs = Math.round(performance.now() - startedAtMs);
         report({
             kind: "ended",
             requestId,
-            attempt: one.attempt,
+            attempt: attempt.attempt,
             team,
             instance: instance.name,
             result: describeResult(result),
             durationMs,
         });
-        learnFromResult(one, result, durationMs, opts);
-        giveBack(one);
-        settle(waiting, readResult(one, result));
+        learnFromResult(attempt, result, durationMs, opts);
+        release(attempt);
+        settle(waiting, readResult(attempt, result));
     }
 
     async function claim(waiting: WaitingTask): Promise<NextStep | undefined> {
@@ -103,12 +106,13 @@
     }
 
     /**
-     * The last look before anything leaves. The claim may have taken long and this process may have been paused: a task
-     * sent now would run after its caller was told that it had not, or on an instance that has left the pool.
+     * Checks cancellation, deadline and placement once more right before the task is sent. The claim may have taken
+     * long, and this process may have been paused. Without the check, a task could run after its caller was told that
+     * it had not, or on an instance that has left the pool.
      */
     function checkBeforeSend(waiting: WaitingTask, instance: Instance): NextStep | undefined {
         if (waiting.signal.aborted) {
-            return { kind: "end", end: createWaitingEnd(waiting, "CANCELLED", "cancelled before it was sent") };
+            return { kind: "end", end: createWaitingEnd(waiting, "CANCELLED", "canceled before it was sent") };
         }
         if (Date.now() > waiting.expiresAtMs) {
             const detail = "the deadline passed before the task was sent";
@@ -120,7 +124,7 @@
         return isSame ? undefined : { kind: "again" };
     }
 
-    function giveBack({ instance, stopping, waiting: { task } }: Try): void {
+    function release({ instance, stopping, waiting: { task } }: Try): void {
         loads.giveBack(instance.name, task.size);
         shares.removeRunning(task.pool, task.team, task.size);
         opts.onFreed(task.pool, { instance, isReclaimed: stopping === "reclaimed" });
@@ -148,7 +152,7 @@
     }
 
     function retry(waiting: WaitingTask, end: TaskEnd): void {
-        const isAllowed = waiting.startedTries < maxTries && !waiting.signal.aborted && budget.trySpend();
+        const isAllowed = waiting.startedTries < maxAttempts && !waiting.signal.aborted && retryBudget.trySpend();
         if (!isAllowed) {
             waiting.end(end);
             return;
@@ -159,14 +163,14 @@
 
     function requeue(waiting: WaitingTask): void {
         if (waiting.signal.aborted) {
-            room.refuse(waiting, "CANCELLED", "cancelled between two tries");
+            admissionQueue.refuse(waiting, "CANCELLED", "canceled between two attempts");
         }
         else {
-            room.putBack(waiting);
+            admissionQueue.putBack(waiting);
         }
     }
 
-    return { noteRequest: () => budget.noteRequest(), attempt };
+    return { noteRequest: () => retryBudget.noteRequest(), attempt: runAttempt };
 }
 
 function describeResult(result: TaskResult): string {
--- a/src/dispatch/createDeadlines.ts
+++ b/src/dispatch/createDeadlines.ts
@@ -1,57 +1,58 @@
-/** Calls back for each member whose moment has come. */
+/** Deadlines of many members; the callback is called once for each member whose deadline passes. */
 export interface Deadlines<T> {
     add(member: T, atMs: number): void;
+    /** Removes a member; `atMs` is the deadline with which it was added. */
     remove(member: T, atMs: number): void;
     stop(): void;
 }
 
-/** Deadlines are kept to this many milliseconds. */
-const stepMs = 20;
+/** Resolution of deadlines, in milliseconds. */
+const bucketMs = 20;
 
 /**
- * Keeps many deadlines with one timer: members that fall into the same step share a set, so that adding and removing
- * one costs the same however many wait.
+ * Keeps many deadlines with one timer. Members whose deadlines fall into the same bucket share a set, so the cost of
+ * adding or removing a member doesn't depend on how many there are.
  */
-export function createDeadlines<T>(onPassed: (member: T) => void): Deadlines<T> {
-    const steps = new Map<number, Set<T>>();
-    let doneStep = Math.floor(Date.now() / stepMs);
+export function createDeadlines<T>(onExpired: (member: T) => void): Deadlines<T> {
+    const buckets = new Map<number, Set<T>>();
+    let lastBucket = Math.floor(Date.now() / bucketMs);
     let timer: NodeJS.Timeout | undefined;
 
-    function stepOf(atMs: number): number {
-        return Math.max(doneStep + 1, Math.ceil(atMs / stepMs));
+    function bucketOf(atMs: number): number {
+        return Math.max(lastBucket + 1, Math.ceil(atMs / bucketMs));
     }
 
     function tick(): void {
-        const nowStep = Math.floor(Date.now() / stepMs);
-        const passed: T[] = [];
-        for (; doneStep < nowStep && steps.size > 0; doneStep++) {
-            passed.push(...steps.get(doneStep + 1) ?? []);
-            steps.delete(doneStep + 1);
+        const currentBucket = Math.floor(Date.now() / bucketMs);
+        const expired: T[] = [];
+        for (; lastBucket < currentBucket && buckets.size > 0; lastBucket++) {
+            expired.push(...buckets.get(lastBucket + 1) ?? []);
+            buckets.delete(lastBucket + 1);
         }
-        doneStep = nowStep;
-        if (steps.size === 0) {
+        lastBucket = currentBucket;
+        if (buckets.size === 0) {
             clearInterval(timer);
             timer = undefined;
         }
-        passed.forEach(onPassed);
+        expired.forEach(onExpired);
     }
 
     return {
         add(member, atMs) {
             if (timer === undefined) {
-                doneStep = Math.floor(Date.now() / stepMs);
-                timer = setInterval(tick, stepMs);
+                lastBucket = Math.floor(Date.now() / bucketMs);
+                timer = setInterval(tick, bucketMs);
             }
-            const step = stepOf(atMs);
-            const members = steps.get(step) ?? new Set();
-            steps.set(step, members);
+            const bucket = bucketOf(atMs);
+            const members = buckets.get(bucket) ?? new Set();
+            buckets.set(bucket, members);
             members.add(member);
         },
         remove(member, atMs) {
-            const members = steps.get(Math.ceil(atMs / stepMs));
+            const members = buckets.get(Math.ceil(atMs / bucketMs));
             members?.delete(member);
             if (members?.size === 0) {
-                steps.delete(Math.ceil(atMs / stepMs));
+                buckets.delete(Math.ceil(atMs / bucketMs));
             }
         },
         stop() {
--- a/src/dispatch/createDispatch.ts
+++ b/src/dispatch/createDispatch.ts
@@ -29,49 +29,52 @@
     readonly pools: PoolIndex;
     readonly shares: Shares;
     readonly report: Reporter;
-    /** Lease of a task at its worker, in milliseconds; renewed at a third of it. */
+    /** Lease of a task at its worker, in milliseconds; it is renewed three times per lease. */
     readonly leaseMs: number;
     readonly bounds: QueueBounds;
-    /** Most tasks of this entry on one worker: its part of the worker's connections. */
+    /** Maximum number of tasks of this entry on one worker: the entry's share of the worker's connections. */
     readonly tasksPerWorker: number;
-    /** How often usage is read, in milliseconds. */
+    /** Interval at which workers' usage is read, in milliseconds. */
     readonly usageMs: number;
-    /** True for an instance that the platform lists as leaving. */
+    /** Returns true for an instance that the platform lists as leaving. */
     readonly isLeaving?: (instance: string) => boolean;
-    /** Called with each worker that is set aside. */
+    /** Called for each worker that is ejected. */
     readonly onEjected?: (instance: string, pool: string) => void;
-    /** Called with the tasks of other holders that are not connected, at one worker. */
+    /** Called with the number of tasks on one worker whose holder is neither this entry nor connected to it. */
     readonly onOrphans?: (instance: string, count: number) => void;
-    /** From 0 up to 1; tests give a seeded one. */
+    /** Returns a number from 0 (inclusive) to 1 (exclusive); tests pass a seeded generator. */
     readonly random?: () => number;
 }
 
-/** Tasks of one team that are tried when the first is too large for what is free. */
-const lookAhead = 4;
-/** Waiting tasks of one team for which room is asked at once; one at a time, a burst would wait for as many moves. */
-const demandAhead = 64;
-/** After this wait the first task is no longer passed by smaller ones behind it, in milliseconds. */
-const noPassingAfterMs = 1000;
+/** Tasks of one team that are considered when the first one is too large for the free capacity. */
+const maxCandidatesPerTurn = 4;
+/**
+ * Waiting tasks of one team for which limit capacity is requested at once. With one request at a time, a burst would
+ * need as many transfers of limit capacity as it has tasks.
+ */
+const maxDemandedTasks = 64;
+/** Smaller tasks may start ahead of a task that is too large until it has waited this long, in milliseconds. */
+const maxBypassMs = 1000;
 const tickMs = 100;
 const reclaimTickMs = 250;
-const askRoomMs = 1000;
+const recheckLimitsMs = 1000;
 const stopPollMs = 50;
 
-/** Queues tasks by team, takes them in fair order, and runs each to one end. */
+/** Queues tasks by team, starts them in fair order, and runs each until it ends once. */
 export function createDispatch(opts: DispatchOptions): Dispatch {
     const { pools, shares, limits, report } = opts;
     const queues = createTaskQueues(opts.bounds);
     const loads = createWorkerLoads();
     const health = createWorkerHealth();
-    /** Pools in which no slot was free when last looked. */
-    const full = new Set<string>();
-    const dirty = new Map<string, Freed[]>();
+    /** Pools that had no free slot at the last placement. */
+    const fullPools = new Set<string>();
+    const pendingPools = new Map<string, Freed[]>();
     const seenZones = new Set<string>();
     let reachableZones = new Set<string>();
     let lingering = 0;
     let timers: readonly NodeJS.Timeout[] = [];
 
-    const tries = createTries({
+    const leasedAttempts = createTries({
         boot: opts.boot,
         workers: opts.workers,
         limits,
@@ -80,33 +83,33 @@
             lingering = count;
         },
     });
-    const room = createWaitingRoom({
+    const admissionQueue = createWaitingRoom({
         pools,
         limits,
         queues,
         shares,
         report,
-        onArrival: (pool) => markDirty(pool),
+        onArrival: (pool) => requestScheduling(pool),
         onCancelRunning(waiting) {
-            for (const one of tries.running()) {
-                if (one.waiting === waiting) {
-                    tries.stopOne(one, "cancelled");
+            for (const candidate of leasedAttempts.running()) {
+                if (candidate.waiting === waiting) {
+                    leasedAttempts.stopOne(candidate, "cancelled");
                 }
             }
         },
     });
-    const attempts = createAttempts({
+    const attemptRunner = createAttempts({
         pools,
         shares,
         report,
-        tries,
-        room,
+        tries: leasedAttempts,
+        room: admissionQueue,
         loads,
         health,
         onEjected: (instance, pool) => opts.onEjected?.(instance, pool),
         onFreed(pool, freed) {
-            full.delete(pool);
-            markDirty(pool, freed);
+            fullPools.delete(pool);
+            requestScheduling(pool, freed);
         },
     });
     const usage = createUsageReader({
@@ -118,12 +121,12 @@
         onUse(instance, use) {
             loads.noteOthers(instance.name, use);
             loads.noteReached(instance.name);
-            wake(instance.pool);
+            reschedulePool(instance.pool);
         },
         onLeaving: (instance) => loads.avoid(instance, "leaving"),
         onOrphans: (instance, count) => opts.onOrphans?.(instance.name, count),
     });
-    const choosing: ChooseWorkerOptions = {
+    const chooseOptions: ChooseWorkerOptions = {
         loads,
         health,
         tasksPerWorker: opts.tasksPerWorker,
@@ -132,37 +135,39 @@
         random: opts.random ?? Math.random,
     };
 
-    function wake(pool: string): void {
-        full.delete(pool);
-        markDirty(pool);
+    function reschedulePool(pool: string): void {
+        fullPools.delete(pool);
+        requestScheduling(pool);
     }
 
-    /** Looks at the pool again right after this turn of the event loop; several reasons are one look. */
-    function markDirty(pool: string, freed?: Freed): void {
-        if (dirty.size === 0) {
-            void Promise.resolve().then(pumpDirty);
+    /** Schedules the pool in a microtask; several requests before that are handled together. */
+    function requestScheduling(pool: string, freed?: Freed): void {
+        if (pendingPools.size === 0) {
+            void Promise.resolve().then(schedulePending);
         }
-        const all = dirty.get(pool) ?? [];
-        dirty.set(pool, all);
+        const all = pendingPools.get(pool) ?? [];
+        pendingPools.set(pool, all);
         if (freed !== undefined) {
             all.push(freed);
         }
     }
 
-    function pumpDirty(): void {
-        const work = [...dirty];
-        dirty.clear();
+    function schedulePending(): void {
+        const work = [...pendingPools];
+        pendingPools.clear();
         work.forEach(([pool, freed]) => {
-            pump(pool, freed, freed.some(({ isReclaimed }) => isReclaimed) ? "always" : "sometimes");
+            schedulePool(pool, freed, freed.some(({ isReclaimed }) => isReclaimed) ? "always" : "sometimes");
         });
     }
 
-    /** Starts what may start now; offers slots that have become free here to entries whose turn it is. */
-    function pump(name: string, freed: Freed[], offers: Offers): void {
+    /** Starts the tasks that may start now, and offers slots freed by this entry to the entries whose turn it is. */
+    function schedulePool(name: string, freed: Freed[], offers: Offers): void {
         const pool = pools.find(name);
         const blocked = new Set<string>();
-        while (pool !== undefined && !full.has(name)) {
-            const teams = queues.ofPool(name).filter(({ team, lacksRoom }) => !lacksRoom && !blocked.has(team))
+        while (pool !== undefined && !fullPools.has(name)) {
+            const teams = queues.ofPool(name).filter(({ team, lacksRoom: isAtLimit }) =>
+                !isAtLimit && !blocked.has(team)
+            )
                 .map(({ team }) => team);
             if (teams.length === 0 && freed.length === 0) {
                 return;
@@ -194,19 +199,19 @@
         opts.peers.send(boot, offerTopic, { pool, instance: instance.name });
     }
 
-    /** Starts the team's next task; false where none of it can start now. */
+    /** Starts the team's next task. Returns false if none of its first tasks can start now. */
     function startNext(pool: IndexedPool, team: string): boolean {
         const queue = queues.find(pool.name, team);
-        for (const waiting of queue?.first(lookAhead) ?? []) {
-            const choice = chooseWorker(pool, wantedFor(waiting), choosing);
+        for (const waiting of queue?.first(maxCandidatesPerTurn) ?? []) {
+            const choice = chooseWorker(pool, createPlacementRequest(waiting), chooseOptions);
             switch (choice.kind) {
                 case "chosen":
                     return startOn(queue!, waiting, choice);
                 case "full":
-                    full.add(pool.name);
+                    fullPools.add(pool.name);
                     return false;
                 case "tooLarge":
-                    if (Date.now() - waiting.arrivedAtMs > noPassingAfterMs) {
+                    if (Date.now() - waiting.arrivedAtMs > maxBypassMs) {
                         return false;
                     }
                     break;
@@ -218,12 +223,12 @@
         return false;
     }
 
-    /** Ends a task for which no worker is left because all have been tried. */
+    /** Ends the task if it has excluded every serving worker of the pool; otherwise leaves it waiting. */
     function endExhausted(pool: IndexedPool, waiting: WaitingTask): void {
         const isTriedOnAll = pool.servingCount > 0
             && pool.serving.every(({ instances }) => instances.every(({ name }) => waiting.tried.has(name)));
-        if (isTriedOnAll && room.take(waiting)) {
-            room.refuse(waiting, "NO_WORKER", "every worker of the pool refused it or failed it");
+        if (isTriedOnAll && admissionQueue.take(waiting)) {
+            admissionQueue.refuse(waiting, "NO_WORKER", "every worker of the pool has refused or failed the task");
         }
     }
 
@@ -231,53 +236,56 @@
         const { id, team, size } = waiting.task;
         const hold = limits.tryTake(team, size, id);
         if (hold === undefined) {
-            queue.first(demandAhead).forEach(({ task }) => limits.noteDemand(task.team, task.size, task.id));
+            queue.first(maxDemandedTasks).forEach(({ task }) => limits.noteDemand(task.team, task.size, task.id));
             waiting.lacksRoom = true;
             queue.lacksRoom = true;
-            room.tell(queue);
+            admissionQueue.tell(queue);
             return false;
         }
         waiting.lacksRoom = false;
-        room.take(waiting);
+        admissionQueue.take(waiting);
         queue.drained++;
-        void attempts.attempt(waiting, choice, hold);
+        void attemptRunner.attempt(waiting, choice, hold);
         return true;
     }
 
-    function onRoom(team: string): void {
+    function onLimitFreed(team: string): void {
         for (const queue of queues.ofTeam(team)) {
             if (queue.lacksRoom) {
                 queue.lacksRoom = false;
-                room.tell(queue);
-                markDirty(queue.pool);
+                admissionQueue.tell(queue);
+                requestScheduling(queue.pool);
             }
         }
     }
 
-    /** Looks again at every pool in which something waits: avoidances and reports run out without a message. */
+    /**
+     * Schedules every pool with waiting tasks again, because the avoidance of a worker and usage reports expire without
+     * an event.
+     */
     function tick(): void {
         const connected = opts.peers.connected();
         reachableZones = new Set(connected.map(({ zone }) => zone));
         reachableZones.forEach((zone) => seenZones.add(zone));
         for (const pool of new Set([...queues.pools(), ...shares.contendedPools()])) {
-            full.delete(pool);
-            pump(pool, [], "none");
+            fullPools.delete(pool);
+            schedulePool(pool, [], "none");
         }
     }
 
-    /** Asks the limits again for every team that waits for room: a message that there is some may have been lost. */
-    function askRoom(): void {
-        queues.teams().forEach(onRoom);
+    /** Rechecks the limit of every team with waiting tasks: the notification of free capacity may have been lost. */
+    function recheckLimits(): void {
+        queues.teams().forEach(onLimitFreed);
     }
 
     function reclaim(): void {
         for (const pool of shares.contendedPools()) {
-            const running = [...tries.running()].filter((one) => one.waiting.task.pool === pool);
-            for (const { one, reason } of findOwnReclaims(pool, running, queues.ofPool(pool), shares)) {
-                const { id: requestId, team } = one.waiting.task;
-                const { attempt, instance: { name: instance } } = one;
+            const running = [...leasedAttempts.running()].filter((candidate) => candidate.waiting.task.pool === pool);
+            for (const { one: reclaimed, reason } of findOwnReclaims(pool, running, queues.ofPool(pool), shares)) {
+                const { id: requestId, team } = reclaimed.waiting.task;
+                const { attempt, instance: { name: instance } } = reclaimed;
                 report({ kind: "reclaimed", requestId, attempt, team, pool, instance, reason });
-                tries.stopOne(one, "reclaimed");
+                leasedAttempts.stopOne(reclaimed, "reclaimed");
             }
         }
     }
@@ -286,36 +294,40 @@
         const parsed = offerSchema.safeParse(body);
         if (parsed.success) {
             loads.noteFreed(parsed.data.instance);
-            full.delete(parsed.data.pool);
-            pump(parsed.data.pool, [], "none");
+            fullPools.delete(parsed.data.pool);
+            schedulePool(parsed.data.pool, [], "none");
         }
     });
 
     return {
         run(request) {
-            attempts.noteRequest();
-            return room.admit(request);
+            attemptRunner.noteRequest();
+            return admissionQueue.admit(request);
         },
-        runningCount: () => tries.count() + queues.count(),
-        counts: () => ({ waiting: queues.count(), running: tries.count() - lingering, lingering }),
+        runningCount: () => leasedAttempts.count() + queues.count(),
+        counts: () => ({ waiting: queues.count(), running: leasedAttempts.count() - lingering, lingering }),
         start() {
-            limits.onRoom(onRoom);
-            tries.start();
+            limits.onRoom(onLimitFreed);
+            leasedAttempts.start();
             usage.start();
-            timers = [setInterval(tick, tickMs), setInterval(reclaim, reclaimTickMs), setInterval(askRoom, askRoomMs)];
+            timers = [
+                setInterval(tick, tickMs),
+                setInterval(reclaim, reclaimTickMs),
+                setInterval(recheckLimits, recheckLimitsMs),
+            ];
         },
         async stop() {
-            while (tries.count() > 0) {
+            while (leasedAttempts.count() > 0) {
                 await pause(stopPollMs);
             }
             timers.forEach((timer) => clearInterval(timer));
             usage.stop();
-            tries.stop();
-            room.stop();
+            leasedAttempts.stop();
+            admissionQueue.stop();
         },
     };
 }
 
-function wantedFor({ task, tried }: WaitingTask): Wanted {
-    return { size: task.size, tried, isRepeatable: task.repeatable };
+function createPlacementRequest({ task, tried: excluded }: WaitingTask): Wanted {
+    return { size: task.size, tried: excluded, isRepeatable: task.repeatable };
 }
--- a/src/dispatch/createEnds.ts
+++ b/src/dispatch/createEnds.ts
@@ -4,17 +4,17 @@
 import type { Try } from "./createTries";
 import type { WaitingTask } from "./waitingTask";
 
-/** What to do after a try. */
+/** What happens to a task after an attempt. */
 export type NextStep =
     | { readonly kind: "end"; readonly end: TaskEnd; }
-    /** Nothing of it ran; it takes its turn again and loses nothing. */
+    /** The attempt did not run; the task is requeued at the front, and no retry is counted. */
     | { readonly kind: "again"; }
-    /** It ran and may run again on another worker, if the retry budget allows; otherwise this is its end. */
+    /** It may have run and may run again on another worker if the retry budget allows; otherwise this is its end. */
     | { readonly kind: "retry"; readonly end: TaskEnd; }
-    /** It was stopped for others and goes on later. */
+    /** It was stopped at a checkpoint to free its slot and continues later. */
     | { readonly kind: "resume"; readonly checkpoint?: string; };
 
-/** Ends a task that waits. The outcome is "not run" only where no try of it was ever started. */
+/** Creates the end of a task that waits. The outcome is "not run" only if no attempt was ever started. */
 export function createWaitingEnd(
     waiting: WaitingTask,
     code: ProblemCode,
@@ -25,47 +25,50 @@
     return createEnd(code, detail, outcome, retryAfterSeconds);
 }
 
+/** Creates the end of a task that has no answer. */
 export function createEnd(
     code: ProblemCode,
     detail: string,
     outcome: Outcome,
     retryAfterSeconds?: number,
 ): TaskEnd {
-    const comeBack = retryAfterSeconds === undefined ? {} : { retryAfterSeconds };
-    return { kind: "problem", problem: createProblem(code, detail, { outcome, ...comeBack }) };
+    const retryAfter = retryAfterSeconds === undefined ? {} : { retryAfterSeconds };
+    return { kind: "problem", problem: createProblem(code, detail, { outcome, ...retryAfter }) };
 }
 
-/** Reads what a try came to. Only a repeatable task is ever sent again once a worker may have started it. */
-export function readResult(one: Try, result: TaskResult): NextStep {
-    const { waiting, stopping } = one;
+/**
+ * Decides what happens after an attempt. Once a worker may have started a task, only a repeatable one is sent again.
+ */
+export function readResult(attempt: Try, result: TaskResult): NextStep {
+    const { waiting, stopping } = attempt;
     switch (result.kind) {
         case "answered":
-            return { kind: "end", end: { kind: "answered", body: result.body, instance: one.instance.name } };
+            return { kind: "end", end: { kind: "answered", body: result.body, instance: attempt.instance.name } };
         case "failed":
-            return afterRun(one, createEnd("TASK_FAILED", result.detail, Outcome.Answered));
+            return retryOrEnd(attempt, createEnd("TASK_FAILED", result.detail, Outcome.Answered));
         case "notRun":
             return stopping === "cancelled"
-                ? { kind: "end", end: createWaitingEnd(waiting, "CANCELLED", "cancelled before it started") }
+                ? { kind: "end", end: createWaitingEnd(waiting, "CANCELLED", "canceled before it started") }
                 : { kind: "again" };
         case "stopped":
             if (stopping === "cancelled") {
                 return {
                     kind: "end",
-                    end: createEnd("CANCELLED", "cancelled after it had started", Outcome.Unknown),
+                    end: createEnd("CANCELLED", "canceled after it had started", Outcome.Unknown),
                 };
             }
             if (result.reason === "checkpoint" && waiting.task.repeatable) {
                 return { kind: "resume", ...result.checkpoint === undefined ? {} : { checkpoint: result.checkpoint } };
             }
-            return afterRun(
-                one,
+            return retryOrEnd(
+                attempt,
                 createEnd("OUTCOME_UNKNOWN", `the worker stopped the task: ${result.reason}`, Outcome.Unknown),
             );
         case "unknown":
-            return afterRun(one, createEnd("OUTCOME_UNKNOWN", `no answer: ${result.reason}`, Outcome.Unknown));
+            return retryOrEnd(attempt, createEnd("OUTCOME_UNKNOWN", `no answer: ${result.reason}`, Outcome.Unknown));
     }
 }
 
-function afterRun({ waiting, stopping }: Try, end: TaskEnd): NextStep {
+function retryOrEnd({ waiting, stopping }: Try, end: TaskEnd): NextStep {
     return waiting.task.repeatable && stopping !== "cancelled" ? { kind: "retry", end } : { kind: "end", end };
 }
--- a/src/dispatch/createRetryBudget.ts
+++ b/src/dispatch/createRetryBudget.ts
@@ -1,35 +1,39 @@
-/** Allows retries as a part of the requests that arrive, with a small floor, so that a failing pool is not flooded. */
+/**
+ * Limits retries to a share of the arriving requests plus a small constant rate, so that they don't overload a failing
+ * pool.
+ */
 export interface RetryBudget {
+    /** Adds a share of a retry for a request that arrives. */
     noteRequest(): void;
-    /** Spends one retry; false where none is left. */
+    /** Spends one retry; returns false if none is left. */
     trySpend(): boolean;
 }
 
 const retriesPerRequest = 0.1;
-const floorPerSecond = 1;
-const maxSaved = 50;
-const savedAtStart = 10;
+const refillPerSecond = 1;
+const maxTokens = 50;
+const initialTokens = 10;
 
 export function createRetryBudget(): RetryBudget {
-    let saved = savedAtStart;
+    let tokens = initialTokens;
     let refilledAtMs = Date.now();
 
     function refill(): void {
         const nowMs = Date.now();
-        saved = Math.min(maxSaved, saved + Math.max(0, nowMs - refilledAtMs) / 1000 * floorPerSecond);
+        tokens = Math.min(maxTokens, tokens + Math.max(0, nowMs - refilledAtMs) / 1000 * refillPerSecond);
         refilledAtMs = nowMs;
     }
 
     return {
         noteRequest() {
-            saved = Math.min(maxSaved, saved + retriesPerRequest);
+            tokens = Math.min(maxTokens, tokens + retriesPerRequest);
         },
         trySpend() {
             refill();
-            if (saved < 1) {
+            if (tokens < 1) {
                 return false;
             }
-            saved--;
+            tokens--;
             return true;
         },
     };
--- a/src/dispatch/createTaskQueues.ts
+++ b/src/dispatch/createTaskQueues.ts
@@ -6,66 +6,74 @@
 export interface TeamQueue {
     readonly team: string;
     readonly pool: string;
-    /** Nothing of the team can start before its limit has room again. */
+    /** True if nothing of the team can start until its limit has free capacity again. */
     lacksRoom: boolean;
-    /** Starts since this queue was last empty. */
+    /** Tasks taken out to start since this queue was last empty. */
     drained: number;
-    /** When this queue last became other than empty, in milliseconds of this entry's clock. */
+    /** When this queue last became non-empty, in milliseconds of this entry's clock. */
     backlogAtMs: number;
     size(): number;
-    /** The first tasks, at most `count` of them: urgent ones, then the rest; of each those that came back first. */
+    /**
+     * Returns up to `count` tasks from the front: urgent ones first, and in each group those that were requeued first.
+     */
     first(count: number): readonly WaitingTask[];
-    /** What others are told; `undefined` where nothing could start even if a worker were free. */
+    /** The waiting work to announce to other entries; `undefined` if nothing could start even on a free worker. */
     waitingWork(): WaitingWork | undefined;
 }
 
+/** Maximum numbers of waiting tasks. */
 export interface QueueBounds {
     readonly tasksPerTeam: number;
     readonly tasks: number;
 }
 
 export interface TaskQueues {
-    /** True where the bounds leave no place for one more task of the team. */
+    /** Returns true if the bounds allow no more waiting task of the team. */
     isFull(team: string): boolean;
     add(task: WaitingTask): TeamQueue;
-    /** Puts a task back that had its turn and could not run. */
+    /**
+     * Requeues a task that was selected but could not run or has to run again, ahead of tasks that were never selected.
+     */
     addInFront(task: WaitingTask): TeamQueue;
-    /** Takes a task out; gives its queue, or `undefined` where it was not waiting. */
+    /** Removes a task and returns its queue, or `undefined` if it was not waiting. */
     remove(task: WaitingTask): TeamQueue | undefined;
     find(pool: string, team: string): TeamQueue | undefined;
     ofPool(pool: string): readonly TeamQueue[];
     ofTeam(team: string): readonly TeamQueue[];
-    /** Pools for which something waits. */
+    /** Pools with waiting tasks. */
     pools(): readonly string[];
-    /** Teams of which something waits. */
+    /** Teams with waiting tasks. */
     teams(): readonly string[];
     count(): number;
 }
 
 type QueuePart = "urgentReturned" | "urgent" | "returned" | "normal";
 
-interface OwnQueue extends TeamQueue {
+interface MutableTeamQueue extends TeamQueue {
     readonly parts: Readonly<Record<QueuePart, Set<WaitingTask>>>;
-    /** Urgent tasks, returned ones included. */
+    /** Number of urgent tasks, including requeued ones. */
     urgentTasks: number;
     readonly sum: { processors: number; memoryMb: number; accelerators: number; };
 }
 
-/** Queues by pool and team, bounded by team and in total. Sets keep the order and let any task leave at once. */
+/**
+ * Keeps a queue for each pool and team, bounded per team and in total. Sets keep insertion order and remove any task in
+ * constant time.
+ */
 export function createTaskQueues(bounds: QueueBounds): TaskQueues {
-    const pools = new Map<string, Map<string, OwnQueue>>();
-    const byTeam = new Map<string, number>();
+    const pools = new Map<string, Map<string, MutableTeamQueue>>();
+    const countByTeam = new Map<string, number>();
     let total = 0;
 
-    function ensure(pool: string, team: string): OwnQueue {
-        const teams = pools.get(pool) ?? new Map<string, OwnQueue>();
+    function ensure(pool: string, team: string): MutableTeamQueue {
+        const teams = pools.get(pool) ?? new Map<string, MutableTeamQueue>();
         pools.set(pool, teams);
         const queue = teams.get(team) ?? createTeamQueue(pool, team);
         teams.set(team, queue);
         return queue;
     }
 
-    function insert(task: WaitingTask, part: QueuePart): OwnQueue {
+    function insert(task: WaitingTask, part: QueuePart): MutableTeamQueue {
         const { pool, team, size } = task.task;
         const queue = ensure(pool, team);
         if (queue.size() === 0) {
@@ -76,12 +84,12 @@
         queue.urgentTasks += task.task.urgent ? 1 : 0;
         addTo(queue.sum, size, 1);
         total++;
-        byTeam.set(team, (byTeam.get(team) ?? 0) + 1);
+        countByTeam.set(team, (countByTeam.get(team) ?? 0) + 1);
         return queue;
     }
 
     return {
-        isFull: (team) => total >= bounds.tasks || (byTeam.get(team) ?? 0) >= bounds.tasksPerTeam,
+        isFull: (team) => total >= bounds.tasks || (countByTeam.get(team) ?? 0) >= bounds.tasksPerTeam,
         add: (task) => insert(task, task.task.urgent ? "urgent" : "normal"),
         addInFront: (task) => insert(task, task.task.urgent ? "urgentReturned" : "returned"),
         remove(task) {
@@ -93,7 +101,7 @@
             addTo(queue.sum, size, -1);
             queue.urgentTasks -= task.task.urgent ? 1 : 0;
             total--;
-            byTeam.set(team, (byTeam.get(team) ?? 1) - 1);
+            countByTeam.set(team, (countByTeam.get(team) ?? 1) - 1);
             if (queue.size() === 0) {
                 pools.get(pool)?.delete(team);
             }
@@ -103,21 +111,21 @@
         ofPool: (pool) => [...pools.get(pool)?.values() ?? []],
         ofTeam: (team) => [...pools.values()].flatMap((teams) => teams.get(team) ?? []),
         pools: () => [...pools].filter(([, teams]) => teams.size > 0).map(([pool]) => pool),
-        teams: () => [...byTeam].filter(([, count]) => count > 0).map(([team]) => team),
+        teams: () => [...countByTeam].filter(([, count]) => count > 0).map(([team]) => team),
         count: () => total,
     };
 }
 
-function createTeamQueue(pool: string, team: string): OwnQueue {
+function createTeamQueue(pool: string, team: string): MutableTeamQueue {
     const parts = {
         urgentReturned: new Set<WaitingTask>(),
         urgent: new Set<WaitingTask>(),
         returned: new Set<WaitingTask>(),
         normal: new Set<WaitingTask>(),
     };
-    const inOrder = Object.values(parts);
+    const partsInOrder = Object.values(parts);
     const sum = { processors: 0, memoryMb: 0, accelerators: 0 };
-    const queue: OwnQueue = {
+    const queue: MutableTeamQueue = {
         team,
         pool,
         lacksRoom: false,
@@ -126,10 +134,10 @@
         parts,
         urgentTasks: 0,
         sum,
-        size: () => inOrder.reduce((sum, { size }) => sum + size, 0),
+        size: () => partsInOrder.reduce((sum, { size }) => sum + size, 0),
         first(count) {
             const found: WaitingTask[] = [];
-            for (const part of inOrder) {
+            for (const part of partsInOrder) {
                 for (const task of part) {
                     if (found.length === count) {
                         return found;
@@ -144,7 +152,7 @@
             if (tasks === 0 || queue.lacksRoom) {
                 return undefined;
             }
-            const oldest = inOrder.flatMap((part) => [...firstOf(part)]);
+            const oldest = partsInOrder.flatMap((part) => [...firstOf(part)]);
             return {
                 amounts: { tasks, ...sum },
                 urgentTasks: queue.urgentTasks,
@@ -160,7 +168,7 @@
     return first.done === true ? [] : [first.value];
 }
 
-function removeFrom({ parts }: OwnQueue, task: WaitingTask): boolean {
+function removeFrom({ parts }: MutableTeamQueue, task: WaitingTask): boolean {
     return Object.values(parts).some((part) => part.delete(task));
 }
 
--- a/src/dispatch/createTries.ts
+++ b/src/dispatch/createTries.ts
@@ -4,15 +4,15 @@
 import type { TaskOrder, TaskResult, WorkerAddress, Workers } from "../workers";
 import type { WaitingTask } from "./waitingTask";
 
-/** One try of a task on one worker, from before it is sent. */
+/** One attempt to run a task on one worker; it exists from before it is sent. */
 export interface Try {
     readonly attempt: string;
     readonly waiting: WaitingTask;
     readonly instance: Instance;
     readonly hold: Hold;
-    /** Whether it was asked to stop, and why. */
+    /** Why the worker was asked to stop it; `undefined` if it wasn't. */
     stopping: "cancelled" | "reclaimed" | undefined;
-    /** When it was sent, in milliseconds of this entry's clock; `undefined` before. */
+    /** When it was sent, in milliseconds of this entry's clock; `undefined` until then. */
     sentAtMs: number | undefined;
 }
 
@@ -21,68 +21,74 @@
     readonly workers: Workers;
     readonly limits: Limits;
     readonly leaseMs: number;
-    /** Called with each hold that is kept because the worker may still run the task, and when it is given back. */
+    /**
+     * Called with the number of attempts whose hold is kept because the worker may still run the task, on each change.
+     */
     readonly onLingering: (count: number) => void;
 }
 
 export interface Tries {
     begin(waiting: WaitingTask, instance: Instance, hold: Hold): Try;
-    /** Ends a try of which nothing was sent. */
-    drop(one: Try): void;
-    /** Sends it; resolves with what is known in the end. Keeps the hold while the worker may still run the task. */
-    run(one: Try): Promise<TaskResult>;
-    /** Asks the worker to end the task; gives up waiting for its answer after a while. */
-    stopOne(one: Try, why: "cancelled" | "reclaimed"): void;
+    /** Ends an attempt that was never sent and releases its hold. */
+    drop(attempt: Try): void;
+    /** Sends the attempt and resolves with its result. Keeps the hold while the worker may still run the task. */
+    run(attempt: Try): Promise<TaskResult>;
+    /**
+     * Asks the worker to end the task: at once if it is canceled, at a checkpoint if it is reclaimed. For a canceled
+     * task, the wait for the answer is aborted after a short time.
+     */
+    stopOne(attempt: Try, why: "cancelled" | "reclaimed"): void;
+    /** Attempts that have begun and have no result yet, in the order in which they began. */
     running(): Iterable<Try>;
-    /** Tries that a worker may be running, lingering ones included. */
+    /** Number of attempts that have not ended, including lingering ones. */
     count(): number;
     start(): void;
     stop(): void;
 }
 
-interface Sent {
-    readonly one: Try;
+interface SentAttempt {
+    readonly attempt: Try;
     readonly controller: AbortController;
-    /** Latest moment at which an order or a renewal may have reached the worker. */
-    touchedAtMs: number;
-    /** Latest renewal that the worker confirmed, or the moment of sending. */
+    /** Latest time at which a run request or a renewal may have reached the worker. */
+    lastRequestAtMs: number;
+    /** When the latest renewal that the worker confirmed was sent, or when the attempt was sent. */
     renewedAtMs: number;
-    /** Times in a row that a usage report without this attempt came after it was given up. */
-    absentTimes: number;
+    /** Consecutive usage reports without this attempt since it began to linger. */
+    absentReports: number;
     isLingering: boolean;
-    isGivenUp: boolean;
+    isAborting: boolean;
 }
 
 const renewalsPerLease = 3;
-/** Lets a worker's clock, its own check of leases and the way there be late. */
-const marginMs = 1000;
-/** How long a worker may take to answer after it was asked to stop a task, or said that the task is over. */
+/** Allows for clock drift of the worker, its interval of lease checks, and network delay. */
+const leaseMarginMs = 1000;
+/** How long a worker may take to answer after it was asked to stop a task, or reported that the task has ended. */
 const answerGraceMs = 1500;
 const lingerCheckMs = 1000;
-/** A usage report may overtake an order that is on its way; the second one in a row counts. */
-const absentTimesNeeded = 2;
+/** A usage report can overtake a run request in flight, so the second consecutive report counts. */
+const absentReportsNeeded = 2;
 
 /**
- * Sends tries, renews their leases, and keeps the room of those whose end is not known.
+ * Sends attempts, renews their leases, and holds limit capacity for attempts whose outcome is unknown.
  *
- * An answer that is lost says nothing of the task: it may run on. If its room in the team's limit were given back at
- * once, the team would run more than its limit allows, seen as more tasks at the workers than the limit. The room is
- * kept until the worker no longer reports the task or its lease must have run out.
+ * When an answer is lost, the task may still run. If its capacity in the team's limit were released at once, the
+ * workers could run more of the team's tasks than the limit allows. The attempt therefore lingers: its capacity is held
+ * until the worker no longer reports the task or the lease must have expired.
  */
 export function createTries(opts: TriesOptions): Tries {
-    const begun = new Set<Try>();
-    const sent = new Map<string, Sent>();
+    const active = new Set<Try>();
+    const sentAttempts = new Map<string, SentAttempt>();
     let lingering = 0;
     let renewTimer: NodeJS.Timeout | undefined;
     let lingerTimer: NodeJS.Timeout | undefined;
 
-    function createOrder(one: Try): TaskOrder {
-        const { task, checkpoint } = one.waiting;
+    function createRunRequest(attempt: Try): TaskOrder {
+        const { task, checkpoint } = attempt.waiting;
         return {
-            attempt: one.attempt,
+            attempt: attempt.attempt,
             team: task.team,
             pool: task.pool,
-            assignmentNumber: one.instance.assignmentNumber,
+            assignmentNumber: attempt.instance.assignmentNumber,
             leaseMs: opts.leaseMs,
             holder: opts.boot,
             size: task.size,
@@ -92,135 +98,140 @@
         };
     }
 
-    async function run(one: Try): Promise<TaskResult> {
+    async function run(attempt: Try): Promise<TaskResult> {
         const nowMs = Date.now();
-        const entry: Sent = {
-            one,
+        const record: SentAttempt = {
+            attempt,
             controller: new AbortController(),
-            touchedAtMs: nowMs,
+            lastRequestAtMs: nowMs,
             renewedAtMs: nowMs,
-            absentTimes: 0,
+            absentReports: 0,
             isLingering: false,
-            isGivenUp: false,
+            isAborting: false,
         };
-        one.sentAtMs = nowMs;
-        sent.set(one.attempt, entry);
-        const result = await opts.workers.runTask(addressOf(one.instance), createOrder(one), entry.controller.signal);
-        begun.delete(one);
+        attempt.sentAtMs = nowMs;
+        sentAttempts.set(attempt.attempt, record);
+        const result = await opts.workers.runTask(
+            addressOf(attempt.instance),
+            createRunRequest(attempt),
+            record.controller.signal,
+        );
+        active.delete(attempt);
         if (result.kind === "unknown") {
-            linger(entry);
+            linger(record);
         }
         else {
-            finish(entry);
+            finish(record);
         }
         return result;
     }
 
-    function finish(entry: Sent): void {
-        sent.delete(entry.one.attempt);
-        opts.limits.release(entry.one.hold);
+    function finish(record: SentAttempt): void {
+        sentAttempts.delete(record.attempt.attempt);
+        opts.limits.release(record.attempt.hold);
     }
 
-    function linger(entry: Sent): void {
-        entry.isLingering = true;
-        entry.touchedAtMs = Date.now();
+    function linger(record: SentAttempt): void {
+        record.isLingering = true;
+        record.lastRequestAtMs = Date.now();
         opts.onLingering(++lingering);
-        void opts.workers.stopTask(addressOf(entry.one.instance), entry.one.attempt, "stop");
+        void opts.workers.stopTask(addressOf(record.attempt.instance), record.attempt.attempt, "stop");
     }
 
-    function endLingering(entry: Sent): void {
-        if (sent.has(entry.one.attempt)) {
+    function endLingering(record: SentAttempt): void {
+        if (sentAttempts.has(record.attempt.attempt)) {
             opts.onLingering(--lingering);
-            finish(entry);
+            finish(record);
         }
     }
 
-    async function renew(instance: Instance, entries: readonly Sent[]): Promise<void> {
+    async function renew(instance: Instance, records: readonly SentAttempt[]): Promise<void> {
         const startedAtMs = Date.now();
-        const attempts = entries.map(({ one }) => one.attempt);
+        const attempts = records.map(({ attempt }) => attempt.attempt);
         const renewal = { holder: opts.boot, attempts, leaseMs: opts.leaseMs };
         const answer = await opts.workers.renewLeases(addressOf(instance), renewal);
-        entries.forEach((entry) => {
-            entry.touchedAtMs = Date.now();
+        records.forEach((record) => {
+            record.lastRequestAtMs = Date.now();
         });
         answer.ifRight((ended) => {
             const over = new Set(ended);
-            for (const entry of entries) {
-                if (over.has(entry.one.attempt)) {
-                    giveUpSoon(entry);
+            for (const record of records) {
+                if (over.has(record.attempt.attempt)) {
+                    abortSoon(record);
                 }
                 else {
-                    entry.renewedAtMs = startedAtMs;
+                    record.renewedAtMs = startedAtMs;
                 }
             }
         });
     }
 
     /**
-     * The worker runs it no more; its answer is on its way or lost. The wait also lets answers be read that came while
-     * this process was paused.
+     * Aborts the wait for an answer after a grace period. The attempt has ended at the worker, its lease must have
+     * expired, or it was canceled, and its answer is in flight or lost. The grace period also lets this process read
+     * answers that arrived while it was paused.
      */
-    function giveUpSoon(entry: Sent): void {
-        if (!entry.isGivenUp) {
-            entry.isGivenUp = true;
-            setTimeout(() => entry.controller.abort(), answerGraceMs);
+    function abortSoon(record: SentAttempt): void {
+        if (!record.isAborting) {
+            record.isAborting = true;
+            setTimeout(() => record.controller.abort(), answerGraceMs);
         }
     }
 
     function renewAll(): void {
-        const byInstance = new Map<string, { instance: Instance; entries: Sent[]; }>();
+        const byInstance = new Map<string, { instance: Instance; records: SentAttempt[]; }>();
         const nowMs = Date.now();
-        for (const entry of sent.values()) {
-            if (entry.isLingering) {
+        for (const record of sentAttempts.values()) {
+            if (record.isLingering) {
                 continue;
             }
-            if (nowMs > entry.renewedAtMs + opts.leaseMs + marginMs) {
-                giveUpSoon(entry);
+            if (nowMs > record.renewedAtMs + opts.leaseMs + leaseMarginMs) {
+                abortSoon(record);
                 continue;
             }
-            const { instance } = entry.one;
-            const batch = byInstance.get(instance.name) ?? { instance, entries: [] };
-            batch.entries.push(entry);
+            const { instance } = record.attempt;
+            const batch = byInstance.get(instance.name) ?? { instance, records: [] };
+            batch.records.push(record);
             byInstance.set(instance.name, batch);
         }
-        byInstance.forEach(({ instance, entries }) => void renew(instance, entries));
+        byInstance.forEach(({ instance, records }) => void renew(instance, records));
     }
 
-    async function checkLingering(instance: Instance, entries: readonly Sent[]): Promise<void> {
+    async function checkLingering(instance: Instance, records: readonly SentAttempt[]): Promise<void> {
         const usage = await opts.workers.readUsage(addressOf(instance));
         usage.ifRight(({ tasks }) => {
             const present = new Set(tasks.map(({ attempt }) => attempt));
-            for (const entry of entries) {
-                entry.absentTimes = present.has(entry.one.attempt) ? 0 : entry.absentTimes + 1;
-                if (entry.absentTimes >= absentTimesNeeded) {
-                    endLingering(entry);
+            for (const record of records) {
+                record.absentReports = present.has(record.attempt.attempt) ? 0 : record.absentReports + 1;
+                if (record.absentReports >= absentReportsNeeded) {
+                    endLingering(record);
                 }
             }
         });
     }
 
     function checkAllLingering(): void {
-        const byInstance = new Map<string, { instance: Instance; entries: Sent[]; }>();
+        const byInstance = new Map<string, { instance: Instance; records: SentAttempt[]; }>();
         const nowMs = Date.now();
-        for (const entry of lingering === 0 ? [] : sent.values()) {
-            if (!entry.isLingering) {
+        for (const record of lingering === 0 ? [] : sentAttempts.values()) {
+            if (!record.isLingering) {
                 continue;
             }
-            if (nowMs > entry.touchedAtMs + opts.leaseMs + marginMs) {
-                endLingering(entry);
+            if (nowMs > record.lastRequestAtMs + opts.leaseMs + leaseMarginMs) {
+                endLingering(record);
                 continue;
             }
-            const { instance } = entry.one;
-            const batch = byInstance.get(instance.name) ?? { instance, entries: [] };
-            batch.entries.push(entry);
+            const { instance } = record.attempt;
+            const batch = byInstance.get(instance.name) ?? { instance, records: [] };
+            batch.records.push(record);
             byInstance.set(instance.name, batch);
         }
-        byInstance.forEach(({ instance, entries }) => void checkLingering(instance, entries));
+        byInstance.forEach(({ instance, records }) => void checkLingering(instance, records));
     }
 
     return {
         begin(waiting, instance, hold) {
-            const one: Try = {
+            const attempt: Try = {
                 attempt: randomUUID(),
                 waiting,
                 instance,
@@ -228,28 +239,28 @@
                 stopping: undefined,
                 sentAtMs: undefined,
             };
-            begun.add(one);
-            return one;
+            active.add(attempt);
+            return attempt;
         },
-        drop(one) {
-            begun.delete(one);
-            opts.limits.release(one.hold);
+        drop(attempt) {
+            active.delete(attempt);
+            opts.limits.release(attempt.hold);
         },
         run,
-        stopOne(one, why) {
-            const entry = sent.get(one.attempt);
-            if (entry === undefined || one.stopping === "cancelled") {
+        stopOne(attempt, why) {
+            const record = sentAttempts.get(attempt.attempt);
+            if (record === undefined || attempt.stopping === "cancelled") {
                 return;
             }
-            one.stopping = why;
+            attempt.stopping = why;
             const mode = why === "cancelled" ? "stop" : "checkpoint";
-            void opts.workers.stopTask(addressOf(one.instance), one.attempt, mode);
+            void opts.workers.stopTask(addressOf(attempt.instance), attempt.attempt, mode);
             if (why === "cancelled") {
-                giveUpSoon(entry);
+                abortSoon(record);
             }
         },
-        running: () => begun,
-        count: () => begun.size + lingering,
+        running: () => active,
+        count: () => active.size + lingering,
         start() {
             renewTimer = setInterval(renewAll, opts.leaseMs / renewalsPerLease);
             lingerTimer = setInterval(checkAllLingering, lingerCheckMs);
--- a/src/dispatch/createUsageReader.ts
+++ b/src/dispatch/createUsageReader.ts
@@ -10,17 +10,18 @@
     readonly workers: Workers;
     readonly pools: PoolIndex;
     readonly state: () => FleetState | undefined;
-    /** How often each worker of the zone is asked, by one entry of the zone, in milliseconds. */
+    /** Interval at which one entry of the zone reads each worker of the zone, in milliseconds. */
     readonly usageMs: number;
-    /** What a worker said that other entries have there. */
+    /** Called with the usage of a worker by other entries, as the worker reported it. */
     readonly onUse: (instance: Instance, use: OtherUse) => void;
+    /** Called for a worker that reports itself as not serving. */
     readonly onLeaving: (instance: Instance) => void;
-    /** Tasks of holders that are neither this entry nor connected, at one worker. */
+    /** Called with the number of tasks on one worker whose holder is neither this entry nor connected to it. */
     readonly onOrphans: (instance: Instance, count: number) => void;
 }
 
 const usageTopic = "dispatch.usage";
-const digestSchema = z.array(z.object({
+const summariesSchema = z.array(z.object({
     instance: z.string().max(128),
     isServing: z.boolean(),
     tasks: z.number().nonnegative(),
@@ -28,83 +29,84 @@
     memoryMb: z.number().nonnegative(),
     accelerators: z.number().nonnegative(),
 }));
-type Digest = z.infer<typeof digestSchema>[number];
+type UsageSummary = z.infer<typeof summariesSchema>[number];
 
 /**
- * Reads each worker's usage once for the whole zone: the entries of a zone divide its workers by a hash of both names,
- * and each tells the others what it read. Every entry asking every worker would grow with their product.
+ * Reads each worker's usage once for the whole zone. The entries of a zone divide its workers by a hash of both names,
+ * and each sends the others what it read. If every entry read every worker, the number of requests would grow with the
+ * product of the two.
  */
 export function createUsageReader(opts: UsageReaderOptions) {
     const { peers } = opts;
     let timer: NodeJS.Timeout | undefined;
 
-    function zoneEntries(): readonly string[] {
-        const near = peers.connected().filter(({ zone, region }) =>
+    function listZoneEntries(): readonly string[] {
+        const sameZone = peers.connected().filter(({ zone, region }) =>
             zone === peers.self.zone && region === peers.self.region
         );
-        return [peers.self.boot, ...near.map(({ boot }) => boot)];
+        return [peers.self.boot, ...sameZone.map(({ boot }) => boot)];
     }
 
-    function ownWorkers(entries: readonly string[]): readonly Instance[] {
+    function listAssignedWorkers(entries: readonly string[]): readonly Instance[] {
         const all = Object.values(opts.state()?.instances ?? {});
         return all.filter(({ zone, region, name }) =>
             zone === peers.self.zone && region === peers.self.region && chooseReader(name, entries) === peers.self.boot
         );
     }
 
-    function digestFor(boot: string, instance: Instance, usage: WorkerUsage): Digest {
+    function summarize(boot: string, instance: Instance, usage: WorkerUsage): UsageSummary {
         const others = usage.tasks.filter(({ holder }) => holder !== boot).length;
-        const part = usage.runningTasks === 0 ? 0 : others / Math.max(1, usage.tasks.length);
+        const othersShare = usage.runningTasks === 0 ? 0 : others / Math.max(1, usage.tasks.length);
         return {
             instance: instance.name,
             isServing: usage.state === "serving",
             tasks: others,
-            processors: usage.size.processors * part,
-            memoryMb: usage.size.memoryMb * part,
-            accelerators: usage.size.accelerators * part,
+            processors: usage.size.processors * othersShare,
+            memoryMb: usage.size.memoryMb * othersShare,
+            accelerators: usage.size.accelerators * othersShare,
         };
     }
 
-    function take(digest: Digest): void {
-        const instance = opts.pools.findInstance(digest.instance);
+    function applySummary(summary: UsageSummary): void {
+        const instance = opts.pools.findInstance(summary.instance);
         if (instance === undefined) {
             return;
         }
-        if (digest.isServing) {
-            opts.onUse(instance, digest);
+        if (summary.isServing) {
+            opts.onUse(instance, summary);
         }
         else {
             opts.onLeaving(instance);
         }
     }
 
-    async function readOne(instance: Instance, entries: readonly string[], digests: Map<string, Digest[]>) {
+    async function readOne(instance: Instance, entries: readonly string[], summaries: Map<string, UsageSummary[]>) {
         const answer = await opts.workers.readUsage({ instance: instance.name, url: instance.url });
         answer.ifRight((usage) => {
             const connected = new Set([peers.self.boot, ...peers.connected().map(({ boot }) => boot)]);
             opts.onOrphans(instance, usage.tasks.filter(({ holder }) => !connected.has(holder)).length);
-            entries.forEach((boot) => digests.get(boot)?.push(digestFor(boot, instance, usage)));
+            entries.forEach((boot) => summaries.get(boot)?.push(summarize(boot, instance, usage)));
         });
     }
 
     async function tick(): Promise<void> {
-        const entries = zoneEntries();
-        const digests = new Map<string, Digest[]>(entries.map((boot) => [boot, []]));
-        await Promise.all(ownWorkers(entries).map((instance) => readOne(instance, entries, digests)));
-        for (const [boot, digest] of digests) {
+        const entries = listZoneEntries();
+        const summaries = new Map<string, UsageSummary[]>(entries.map((boot) => [boot, []]));
+        await Promise.all(listAssignedWorkers(entries).map((instance) => readOne(instance, entries, summaries)));
+        for (const [boot, summariesOfEntry] of summaries) {
             if (boot === peers.self.boot) {
-                digest.forEach(take);
+                summariesOfEntry.forEach(applySummary);
             }
-            else if (digest.length > 0) {
-                peers.send(boot, usageTopic, digest);
+            else if (summariesOfEntry.length > 0) {
+                peers.send(boot, usageTopic, summariesOfEntry);
             }
         }
     }
 
     peers.onMessage(usageTopic, (_from, body) => {
-        const parsed = digestSchema.safeParse(body);
+        const parsed = summariesSchema.safeParse(body);
         if (parsed.success) {
-            parsed.data.forEach(take);
+            parsed.data.forEach(applySummary);
         }
     });
 
@@ -118,7 +120,10 @@
     };
 }
 
-/** Rendezvous hashing: the entry with the highest hash of both names; few workers change hands when entries do. */
+/**
+ * Chooses the entry with the highest hash of both names (rendezvous hashing), so that few workers get another reader
+ * when entries join or leave.
+ */
 function chooseReader(instance: string, entries: readonly string[]): string | undefined {
     let best: string | undefined;
     let bestHash = -1;
--- a/src/dispatch/createWaitingRoom.ts
+++ b/src/dispatch/createWaitingRoom.ts
@@ -14,30 +14,34 @@
     readonly queues: TaskQueues;
     readonly shares: Shares;
     readonly report: Reporter;
-    /** Called with the pool in which a task has begun to wait. */
+    /** Called with the pool for which a task was queued. */
     readonly onArrival: (pool: string) => void;
-    /** Called where a task that no longer waits is cancelled. */
+    /** Called if a task is canceled that no longer waits. */
     readonly onCancelRunning: (waiting: WaitingTask) => void;
 }
 
-/** Tasks that wait, from their arrival until their turn or their end. */
+/** Tasks that wait, from their arrival until they are taken out to start or end. */
 export interface WaitingRoom {
-    /** Takes a task or refuses it; resolves with its end. */
+    /** Queues a task or refuses it; resolves with its end. */
     admit(request: DispatchRequest): Promise<TaskEnd>;
-    /** Puts a task back in front that had its turn and could not run. */
+    /** Requeues a task at the front that was selected but could not run or has to run again. */
     putBack(waiting: WaitingTask): void;
-    /** Takes a task out; false where it was not waiting. */
+    /** Removes a task from its queue; returns false if it was not waiting. */
     take(waiting: WaitingTask): boolean;
-    /** Ends a task that no longer waits with what is known of it. */
-    refuse(waiting: WaitingTask, code: ProblemCode, detail: string, comeBack?: number): void;
-    /** Tells the shares what waits in the queue now. */
+    /**
+     * Ends a task that was taken out: with the end of its latest attempt if there is one, otherwise with the given
+     * problem.
+     */
+    refuse(waiting: WaitingTask, code: ProblemCode, detail: string, retryAfterS?: number): void;
+    /** Updates the shares with the queue's waiting work. */
     tell(queue: TeamQueue): void;
     stop(): void;
 }
 
-/** Longest that a task waits, whatever its deadline, in milliseconds. */
+/** Maximum waiting time of a task, whatever its deadline, in milliseconds. */
 export const maxWaitingMs = 10 * 60 * 1000;
 
+/** Admits or refuses arriving tasks, and ends waiting ones when they are canceled or their deadline passes. */
 export function createWaitingRoom(opts: WaitingRoomOptions): WaitingRoom {
     const { queues, shares } = opts;
     const deadlines = createDeadlines<WaitingTask>(expire);
@@ -46,9 +50,9 @@
         const { task, signal } = request;
         const refused = findRefusal(request, opts);
         if (refused !== undefined) {
-            const { code, detail, comeBack } = refused;
+            const { code, detail, comeBack: retryAfterS } = refused;
             reportRefused(request, code, detail);
-            return Promise.resolve(createEnd(code, detail, Outcome.NotRun, comeBack));
+            return Promise.resolve(createEnd(code, detail, Outcome.NotRun, retryAfterS));
         }
         return new Promise((resolve) => {
             const nowMs = Date.now();
@@ -79,28 +83,27 @@
     function enqueue(waiting: WaitingTask, inFront: boolean): void {
         const queue = inFront ? queues.addInFront(waiting) : queues.add(waiting);
         deadlines.add(waiting, waiting.expiresAtMs);
-        tell(queue);
+        publish(queue);
         opts.onArrival(waiting.task.pool);
     }
 
-    /** Takes a task out of its queue; false where it was not waiting. */
     function take(waiting: WaitingTask): boolean {
         const queue = queues.remove(waiting);
         if (queue === undefined) {
             return false;
         }
         deadlines.remove(waiting, waiting.expiresAtMs);
-        tell(queue);
+        publish(queue);
         return true;
     }
 
-    function tell(queue: TeamQueue): void {
+    function publish(queue: TeamQueue): void {
         shares.setWaiting(queue.pool, queue.team, queue.waitingWork());
     }
 
-    function refuse(waiting: WaitingTask, code: ProblemCode, detail: string, comeBack?: number): void {
+    function refuse(waiting: WaitingTask, code: ProblemCode, detail: string, retryAfterS?: number): void {
         reportRefused(waiting, code, detail);
-        waiting.end(waiting.lastEnd ?? createWaitingEnd(waiting, code, detail, comeBack));
+        waiting.end(waiting.lastEnd ?? createWaitingEnd(waiting, code, detail, retryAfterS));
     }
 
     function expire(waiting: WaitingTask): void {
@@ -108,18 +111,18 @@
         if (!take(waiting)) {
             return;
         }
-        const comeBack = retryAfterSeconds(queue);
+        const retryAfterS = retryAfterSeconds(queue);
         if (waiting.lacksRoom) {
-            refuse(waiting, "LIMIT_REACHED", "the team's upper limit left no room in time", comeBack);
+            refuse(waiting, "LIMIT_REACHED", "the team's limit had no free capacity in time", retryAfterS);
         }
         else {
-            refuse(waiting, "DEADLINE_PASSED", "no worker was free in time", comeBack);
+            refuse(waiting, "DEADLINE_PASSED", "no worker was free in time", retryAfterS);
         }
     }
 
     function cancel(waiting: WaitingTask): void {
         if (take(waiting)) {
-            refuse(waiting, "CANCELLED", "cancelled while it waited");
+            refuse(waiting, "CANCELLED", "canceled while it waited");
             return;
         }
         opts.onCancelRunning(waiting);
@@ -136,7 +139,7 @@
         putBack: (waiting) => enqueue(waiting, true),
         take,
         refuse,
-        tell,
+        tell: publish,
         stop: () => deadlines.stop(),
     };
 }
--- a/src/dispatch/createWorkerHealth.ts
+++ b/src/dispatch/createWorkerHealth.ts
@@ -1,144 +1,152 @@
-/** Whether a worker may be given work, by what its own tasks came to. */
+/**
+ * Whether a worker may be given work, judged by the results of this entry's tasks.
+ *
+ * - `active`: it gets work.
+ * - `ejected`: it gets no work until `untilMs`.
+ * - `probing`: it gets one repeatable task at a time until enough of them have succeeded.
+ */
 export type HealthState =
     | { readonly kind: "active"; }
     | { readonly kind: "ejected"; readonly untilMs: number; }
     | { readonly kind: "probing"; };
 
-/** A worker was set aside, or taken back. */
+/** A worker was ejected or reinstated. */
 export interface HealthChange {
     readonly kind: "ejected" | "reinstated";
     readonly instance: string;
     readonly pool: string;
     readonly reason: string;
+    /** Length of the ejection, in milliseconds; 0 for a reinstatement. */
     readonly forMs: number;
 }
 
 export interface WorkerHealth {
     state(instance: string): HealthState;
-    /** Recent part of the worker's tasks that failed, from 0 to 1; it fades where there is nothing new. */
+    /** Share of the worker's recent tasks that failed, from 0 to 1; it decays while no task ends. */
     failureRate(instance: string): number;
-    /** Takes in how one task ended; `slowness` is its run time as a multiple of what was expected. */
+    /** Records how one task ended; `slowness` is its run time divided by the expected one. */
     note(instance: string, pool: string, poolSize: number, isOk: boolean, slowness: number): HealthChange | undefined;
 }
 
-/** Counts that lose half their weight in `halfLifeMs`. */
-interface Recent {
+/** Counts that decay by half in each `halfLifeMs`. */
+interface DecayingCounts {
     ok: number;
     failed: number;
-    /** Sum of the logarithms of slowness, over the tasks that did not fail. */
+    /** Sum of the logarithms of slowness over the tasks that did not fail. */
     logSlowness: number;
-    atMs: number;
+    decayedAtMs: number;
 }
 
-interface Entry {
+interface TrackedWorker {
     readonly pool: string;
-    readonly recent: Recent;
+    readonly counts: DecayingCounts;
     state: HealthState;
     ejections: number;
-    goodProbes: number;
+    successfulProbes: number;
 }
 
 const halfLifeMs = 5000;
 const minFailures = 3;
 const minFailureRate = 0.5;
 const minSamples = 5;
-/** A worker this many times as slow as the others of its pool counts as failing. */
+/** A worker that is this many times as slow as the others of its pool counts as failing. */
 const slowFactor = 3;
 const firstEjectionMs = 5000;
 const maxEjectionMs = 60_000;
-const goodProbesNeeded = 3;
-const maxEjectedPart = 0.3;
+const successfulProbesNeeded = 3;
+const maxEjectedShare = 0.3;
 
 /**
- * Sets workers aside that fail or lag behind the others of their pool, and tries them again later.
+ * Ejects workers that fail more or run far slower than the others of their pool, and probes them later (outlier
+ * detection).
  *
- * A worker that fails all it starts is free again at once and would draw ever more work; its callers would see most of
- * the pool's work fail though the other workers are well. It is compared with the rest of its pool, because a job that
- * fails everywhere is no fault of the worker, and at most a part of a pool is set aside, because a wrong guess must not
- * cost the pool.
+ * A worker that fails every task at once is always free and would attract most of the pool's work. Callers would then
+ * see most tasks fail although the other workers are healthy. A worker is compared with the rest of its pool, because a
+ * task that fails everywhere is not the worker's fault. Only a share of a pool is ejected at a time, so that a wrong
+ * decision can't disable the pool.
  */
 export function createWorkerHealth(): WorkerHealth {
-    const entries = new Map<string, Entry>();
-    const pools = new Map<string, Recent>();
+    const workers = new Map<string, TrackedWorker>();
+    const pools = new Map<string, DecayingCounts>();
 
-    function ensure(instance: string, pool: string): Entry {
-        const known = entries.get(instance);
+    function ensure(instance: string, pool: string): TrackedWorker {
+        const known = workers.get(instance);
         if (known?.pool === pool) {
             return known;
         }
-        const entry: Entry = {
+        const worker: TrackedWorker = {
             pool,
-            recent: createRecent(),
+            counts: createCounts(),
             state: { kind: "active" },
             ejections: 0,
-            goodProbes: 0,
+            successfulProbes: 0,
         };
-        entries.set(instance, entry);
-        return entry;
+        workers.set(instance, worker);
+        return worker;
     }
 
     function state(instance: string): HealthState {
-        const entry = entries.get(instance);
-        if (entry?.state.kind === "ejected" && Date.now() >= entry.state.untilMs) {
-            entry.state = { kind: "probing" };
-            entry.goodProbes = 0;
+        const worker = workers.get(instance);
+        if (worker?.state.kind === "ejected" && Date.now() >= worker.state.untilMs) {
+            worker.state = { kind: "probing" };
+            worker.successfulProbes = 0;
         }
-        return entry?.state ?? { kind: "active" };
+        return worker?.state ?? { kind: "active" };
     }
 
     function mayEject(pool: string, poolSize: number): boolean {
-        const aside =
-            [...entries].filter(([name, entry]) => entry.pool === pool && state(name).kind !== "active").length;
-        return poolSize >= 2 && aside + 1 <= Math.max(1, Math.floor(poolSize * maxEjectedPart));
+        const notActiveCount =
+            [...workers].filter(([name, worker]) => worker.pool === pool && state(name).kind !== "active").length;
+        return poolSize >= 2 && notActiveCount + 1 <= Math.max(1, Math.floor(poolSize * maxEjectedShare));
     }
 
-    function eject(entry: Entry, instance: string, reason: string): HealthChange {
-        const forMs = Math.min(maxEjectionMs, firstEjectionMs * 2 ** entry.ejections);
-        entry.ejections++;
-        entry.state = { kind: "ejected", untilMs: Date.now() + forMs };
-        return { kind: "ejected", instance, pool: entry.pool, reason, forMs };
+    function eject(worker: TrackedWorker, instance: string, reason: string): HealthChange {
+        const forMs = Math.min(maxEjectionMs, firstEjectionMs * 2 ** worker.ejections);
+        worker.ejections++;
+        worker.state = { kind: "ejected", untilMs: Date.now() + forMs };
+        return { kind: "ejected", instance, pool: worker.pool, reason, forMs };
     }
 
-    function noteProbe(entry: Entry, instance: string, isGood: boolean): HealthChange | undefined {
-        if (!isGood) {
-            return eject(entry, instance, "failed when tried again");
+    function recordProbe(worker: TrackedWorker, instance: string, isSuccess: boolean): HealthChange | undefined {
+        if (!isSuccess) {
+            return eject(worker, instance, "failed a probe");
         }
-        entry.goodProbes++;
-        if (entry.goodProbes < goodProbesNeeded) {
+        worker.successfulProbes++;
+        if (worker.successfulProbes < successfulProbesNeeded) {
             return undefined;
         }
-        entry.state = { kind: "active" };
-        entry.ejections = 0;
-        Object.assign(entry.recent, createRecent());
-        return { kind: "reinstated", instance, pool: entry.pool, reason: "did well when tried again", forMs: 0 };
+        worker.state = { kind: "active" };
+        worker.ejections = 0;
+        Object.assign(worker.counts, createCounts());
+        return { kind: "reinstated", instance, pool: worker.pool, reason: "succeeded in its probes", forMs: 0 };
     }
 
     return {
         state,
         failureRate(instance) {
-            const entry = entries.get(instance);
-            if (entry === undefined) {
+            const worker = workers.get(instance);
+            if (worker === undefined) {
                 return 0;
             }
-            const { ok, failed } = decay(entry.recent);
+            const { ok, failed } = decay(worker.counts);
             return failed / (ok + failed + 1);
         },
         note(instance, pool, poolSize, isOk, slowness) {
-            const entry = ensure(instance, pool);
-            const whole = pools.get(pool) ?? createRecent();
-            pools.set(pool, whole);
-            const others = subtract(decay(whole), decay(entry.recent));
-            add(entry.recent, isOk, slowness);
-            add(whole, isOk, slowness);
+            const worker = ensure(instance, pool);
+            const poolCounts = pools.get(pool) ?? createCounts();
+            pools.set(pool, poolCounts);
+            const others = subtract(decay(poolCounts), decay(worker.counts));
+            add(worker.counts, isOk, slowness);
+            add(poolCounts, isOk, slowness);
             switch (state(instance).kind) {
                 case "ejected":
                     return undefined;
                 case "probing":
-                    return noteProbe(entry, instance, isOk && !isSlow(entry.recent, others, 1));
+                    return recordProbe(worker, instance, isOk && !isSlow(worker.counts, others, 1));
                 case "active": {
-                    const reason = findFault(entry.recent, others);
+                    const reason = findEjectionReason(worker.counts, others);
                     return reason !== undefined && mayEject(pool, poolSize)
-                        ? eject(entry, instance, reason)
+                        ? eject(worker, instance, reason)
                         : undefined;
                 }
             }
@@ -146,47 +154,47 @@
     };
 }
 
-function findFault(own: Recent, others: Recent): string | undefined {
-    const rate = failedPart(own);
-    if (own.failed >= minFailures * 0.9 && rate >= minFailureRate && rate >= 2 * failedPart(others)) {
+function findEjectionReason(own: DecayingCounts, others: DecayingCounts): string | undefined {
+    const rate = failedShare(own);
+    if (own.failed >= minFailures * 0.9 && rate >= minFailureRate && rate >= 2 * failedShare(others)) {
         return `${Math.round(rate * 100)}% of its tasks failed, ${
-            Math.round(failedPart(others) * 100)
-        }% of the others'`;
+            Math.round(failedShare(others) * 100)
+        }% of those of the other workers`;
     }
-    return isSlow(own, others, minSamples) ? "far slower than the others of its pool" : undefined;
+    return isSlow(own, others, minSamples) ? "far slower than the other workers of its pool" : undefined;
 }
 
-function isSlow(own: Recent, others: Recent, samples: number): boolean {
+function isSlow(own: DecayingCounts, others: DecayingCounts, samples: number): boolean {
     if (own.ok < samples * 0.9 || others.ok < minSamples) {
         return false;
     }
     return own.logSlowness / own.ok - others.logSlowness / others.ok > Math.log(slowFactor);
 }
 
-function createRecent(): Recent {
-    return { ok: 0, failed: 0, logSlowness: 0, atMs: Date.now() };
+function createCounts(): DecayingCounts {
+    return { ok: 0, failed: 0, logSlowness: 0, decayedAtMs: Date.now() };
 }
 
-function decay(recent: Recent): Recent {
+function decay(recent: DecayingCounts): DecayingCounts {
     const nowMs = Date.now();
-    const factor = 0.5 ** (Math.max(0, nowMs - recent.atMs) / halfLifeMs);
+    const factor = 0.5 ** (Math.max(0, nowMs - recent.decayedAtMs) / halfLifeMs);
     recent.ok *= factor;
     recent.failed *= factor;
     recent.logSlowness *= factor;
-    recent.atMs = nowMs;
+    recent.decayedAtMs = nowMs;
     return recent;
 }
 
-function subtract(whole: Recent, part: Recent): Recent {
+function subtract(whole: DecayingCounts, part: DecayingCounts): DecayingCounts {
     return {
         ok: Math.max(0, whole.ok - part.ok),
         failed: Math.max(0, whole.failed - part.failed),
         logSlowness: whole.logSlowness - part.logSlowness,
-        atMs: whole.atMs,
+        decayedAtMs: whole.decayedAtMs,
     };
 }
 
-function add(recent: Recent, isOk: boolean, slowness: number): void {
+function add(recent: DecayingCounts, isOk: boolean, slowness: number): void {
     decay(recent);
     if (isOk) {
         recent.ok++;
@@ -197,6 +205,6 @@
     }
 }
 
-function failedPart({ ok, failed }: Recent): number {
+function failedShare({ ok, failed }: DecayingCounts): number {
     return ok + failed === 0 ? 0 : failed / (ok + failed);
 }
--- a/src/dispatch/createWorkerLoads.ts
+++ b/src/dispatch/createWorkerLoads.ts
@@ -1,23 +1,23 @@
 import type { Instance } from "../state";
 import type { TaskSize } from "../workers";
 
-/** What this entry knows of one worker's load. */
+/** What this entry knows about the load of one worker. */
 export interface WorkerLoad {
-    /** Tasks of this entry that the worker runs or is about to. */
+    /** Tasks of this entry that the worker runs or is about to run. */
     ownTasks: number;
     ownProcessors: number;
     ownMemoryMb: number;
     ownAccelerators: number;
-    /** Tasks of other entries, as last heard; it lags. */
+    /** Tasks of other entries, as last reported; the number lags. */
     otherTasks: number;
     otherProcessors: number;
     otherMemoryMb: number;
     otherAccelerators: number;
-    /** What was heard of others counts until then, in milliseconds of this entry's clock. */
+    /** When the numbers of other entries expire, in milliseconds of this entry's clock. */
     othersUntilMs: number;
-    /** Why no new task goes there for now. */
+    /** Why the worker gets no new task for now. */
     avoided: Avoidance | undefined;
-    /** Refused connections in a row. */
+    /** Consecutive failures to connect. */
     unreachableTimes: number;
 }
 
@@ -25,38 +25,46 @@
 
 export interface Avoidance {
     readonly reason: AvoidReason;
+    /** When the avoidance ends, in milliseconds of this entry's clock. */
     readonly untilMs: number;
-    /** The instance's assignment number then; a higher one ends the avoidance. */
+    /** The instance's assignment number at that time; a higher one ends the avoidance. */
     readonly assignmentNumber: number;
 }
 
-/** Others' use of a worker, from its own report. */
+/** Usage of a worker by other entries, as the worker reported it. */
 export interface OtherUse extends TaskSize {
     readonly tasks: number;
 }
 
 export interface WorkerLoads {
     of(instance: string): WorkerLoad;
+    /** Adds a task of this entry. */
     take(instance: string, size: TaskSize): void;
+    /** Removes a task of this entry. */
     giveBack(instance: string, size: TaskSize): void;
+    /** Records a report of the usage by other entries. */
     noteOthers(instance: string, use: OtherUse): void;
-    /** The worker said that its slots are taken. */
+    /** Records that the worker refused a task because all its slots are in use. */
     noteBusy(instance: Instance): void;
-    /** A slot there has been offered to another entry. */
+    /** Records that a slot of the worker was offered to another entry. */
     noteTaken(instance: string): void;
-    /** Somebody else's slot there has become free. */
+    /** Records that a slot used by another entry has become free. */
     noteFreed(instance: string): void;
+    /** Sends no new task to the worker for a time that depends on the reason. */
     avoid(instance: Instance, reason: AvoidReason): void;
     isAvoided(instance: Instance): boolean;
-    /** The worker answered; it can be reached. */
+    /** Records that the worker answered, which resets its connection backoff. */
     noteReached(instance: string): void;
 }
 
-/** How long a worker that said it is leaving gets nothing, where the configuration does not move on. */
-const leavingMs = 5000;
-/** How long a worker's report, or its refusal as busy, says something of its slots. */
-const reportAgeMs = 3000;
-const busyAgeMs = 300;
+/**
+ * How long a worker that is leaving or refused an outdated assignment number gets no new task if its assignment number
+ * in the configuration doesn't increase.
+ */
+const leavingAvoidMs = 5000;
+/** How long a usage report, and a refusal as busy, are taken as the state of the worker's slots. */
+const maxReportAgeMs = 3000;
+const maxBusyAgeMs = 300;
 const firstUnreachableMs = 500;
 const maxUnreachableMs = 10_000;
 
@@ -66,7 +74,7 @@
     function of(instance: string): WorkerLoad {
         const known = loads.get(instance);
         if (known !== undefined) {
-            forgetOld(known);
+            expireOtherUsage(known);
             return known;
         }
         const load = createLoad();
@@ -91,17 +99,17 @@
             load.otherProcessors = use.processors;
             load.otherMemoryMb = use.memoryMb;
             load.otherAccelerators = use.accelerators;
-            load.othersUntilMs = Date.now() + reportAgeMs;
+            load.othersUntilMs = Date.now() + maxReportAgeMs;
         },
         noteBusy({ name, slots }) {
             const load = of(name);
             load.otherTasks = Math.max(load.otherTasks, slots - load.ownTasks);
-            load.othersUntilMs = Math.max(load.othersUntilMs, Date.now() + busyAgeMs);
+            load.othersUntilMs = Math.max(load.othersUntilMs, Date.now() + maxBusyAgeMs);
         },
         noteTaken(instance) {
             const load = of(instance);
             load.otherTasks++;
-            load.othersUntilMs = Math.max(load.othersUntilMs, Date.now() + busyAgeMs);
+            load.othersUntilMs = Math.max(load.othersUntilMs, Date.now() + maxBusyAgeMs);
         },
         noteFreed(instance) {
             const load = of(instance);
@@ -124,7 +132,7 @@
     };
 }
 
-function forgetOld(load: WorkerLoad): void {
+function expireOtherUsage(load: WorkerLoad): void {
     if (load.otherTasks > 0 && Date.now() > load.othersUntilMs) {
         load.otherTasks = 0;
         load.otherProcessors = 0;
@@ -137,7 +145,7 @@
     switch (reason) {
         case "leaving":
         case "staleAssignment":
-            return leavingMs;
+            return leavingAvoidMs;
         case "unreachable":
             return Math.min(maxUnreachableMs, firstUnreachableMs * 2 ** load.unreachableTimes++);
     }
--- a/src/dispatch/dispatch.ts
+++ b/src/dispatch/dispatch.ts
@@ -1,29 +1,32 @@
 import type { Problem } from "../errors";
 import type { TaskEnd, TaskRequest } from "../tasks";
 
-/** A task that waits for its turn, with what has to be done right before it is sent. */
+/** A task to run, with its cancellation signal and a check to run right before it is first sent. */
 export interface DispatchRequest {
     readonly task: TaskRequest;
     readonly signal: AbortSignal;
-    /** Called once a worker and room in the limit are found, before the first send; a problem ends the task. */
+    /**
+     * Called once a worker and free capacity in the team's limit are found, before the first send. It isn't called
+     * again for a later attempt once it has succeeded. A returned problem ends the task.
+     */
     beforeSend(): Promise<Problem | undefined>;
 }
 
-/** Numbers for metrics. */
+/** Numbers of tasks, for metrics. */
 export interface DispatchCounts {
     readonly waiting: number;
     readonly running: number;
-    /** Tries whose end is not known and whose room in the limit is still kept. */
+    /** Attempts whose outcome is unknown and whose capacity in the team's limit is still held. */
     readonly lingering: number;
 }
 
 export interface Dispatch {
-    /** Queues a task, places it, runs it, and tells how it ended. */
+    /** Queues a task, places it on a worker, runs it, and resolves with how it ended. */
     run(request: DispatchRequest): Promise<TaskEnd>;
-    /** Tasks of this entry that a worker may be running. */
+    /** Tasks of this entry that wait or that a worker may be running. */
     runningCount(): number;
     counts(): DispatchCounts;
     start(): void;
-    /** Waits until no worker can be running a task of this entry any more. */
+    /** Waits until no worker can still be running a task of this entry, then stops the timers. */
     stop(): Promise<void>;
 }
--- a/src/dispatch/findOwnReclaims.ts
+++ b/src/dispatch/findOwnReclaims.ts
@@ -2,20 +2,21 @@
 import type { TeamQueue } from "./createTaskQueues";
 import type { Try } from "./createTries";
 
+/** An attempt of this entry to stop, and the reason for the log. */
 export interface OwnReclaim {
     readonly one: Try;
     readonly reason: string;
 }
 
-/** Urgent work waits this long for a slot to become free by itself, in milliseconds. */
-const urgentWaitMs = 600;
-/** A task that has not run for this long is left alone: most end soon by themselves. */
-const leastRunMs = 500;
+/** How long urgent work waits for a slot to become free before a task is stopped for it, in milliseconds. */
+const maxUrgentWaitMs = 600;
+/** A task is not stopped before it has run this long, in milliseconds, because most tasks end soon. */
+const minRunMs = 500;
 
 /**
- * Chooses running tasks to stop for others: only repeatable ones that are not urgent, the latest started first. A team
- * whose urgent task waits while the team already has its share gives up work of its own, so that calling everything
- * urgent takes nothing from others.
+ * Chooses running tasks to preempt for other tasks. Only repeatable tasks that are not urgent are chosen, the latest
+ * started first. If a team's urgent task waits while the team already uses its share, a task of the same team is
+ * stopped, so that a team can't take slots from others by marking all its tasks as urgent.
  */
 export function findOwnReclaims(
     pool: string,
@@ -26,23 +27,25 @@
     const chosen = new Map<string, OwnReclaim>();
     const nowMs = Date.now();
 
-    function choose(team: string, count: number, reason: string): void {
-        const mayStop = running.filter(({ waiting: { task }, stopping, attempt, sentAtMs }) =>
-            task.team === team && task.repeatable && !task.urgent && stopping === undefined && !chosen.has(attempt)
-            && nowMs - (sentAtMs ?? nowMs) >= leastRunMs
+    function addReclaims(team: string, count: number, reason: string): void {
+        const stoppable = running.filter(({ waiting: { task }, stopping, attempt: attemptId, sentAtMs }) =>
+            task.team === team && task.repeatable && !task.urgent && stopping === undefined && !chosen.has(attemptId)
+            && nowMs - (sentAtMs ?? nowMs) >= minRunMs
+        );
+        stoppable.slice(Math.max(0, stoppable.length - count)).forEach((candidate) =>
+            chosen.set(candidate.attempt, { one: candidate, reason })
         );
-        mayStop.slice(Math.max(0, mayStop.length - count)).forEach((one) => chosen.set(one.attempt, { one, reason }));
     }
 
     for (const { team, tasks } of shares.findReclaims(pool)) {
-        choose(team, tasks, "a team below its share has waited too long");
+        addReclaims(team, tasks, "a team below its share has waited too long");
     }
     for (const queue of queues) {
-        const late = queue.first(1).filter(({ task, arrivedAtMs }) =>
-            task.urgent && nowMs - arrivedAtMs > urgentWaitMs
+        const overdue = queue.first(1).filter(({ task, arrivedAtMs }) =>
+            task.urgent && nowMs - arrivedAtMs > maxUrgentWaitMs
         );
-        if (late.length > 0 && shares.isAtShare(pool, queue.team)) {
-            choose(queue.team, late.length, "urgent work of the same team has waited too long");
+        if (overdue.length > 0 && shares.isAtShare(pool, queue.team)) {
+            addReclaims(queue.team, overdue.length, "urgent work of the same team has waited too long");
         }
     }
     return [...chosen.values()];
--- a/src/dispatch/findRefusal.ts
+++ b/src/dispatch/findRefusal.ts
@@ -5,10 +5,11 @@
 import type { DispatchRequest } from "./dispatch";
 import { estimateWaitMs, retryAfterSeconds } from "./queueEstimates";
 
+/** Why a task is refused on arrival. */
 export interface Refusal {
     readonly code: ProblemCode;
     readonly detail: string;
-    /** Seconds until it is worth coming back. */
+    /** When the caller should retry, in seconds. */
     readonly comeBack?: number;
 }
 
@@ -18,7 +19,9 @@
     readonly queues: TaskQueues;
 }
 
-/** Why a task is not even queued; costs the same however many tasks wait. */
+/**
+ * Returns why a task must not be queued, or `undefined` if it may be. The cost doesn't depend on how many tasks wait.
+ */
 export function findRefusal({ task, signal }: DispatchRequest, opts: FindRefusalOptions): Refusal | undefined {
     const { pools, limits, queues } = opts;
     const pool = pools.find(task.pool);
@@ -29,22 +32,22 @@
         return { code: "NEVER_FITS", detail: describeLargest(pool) };
     }
     if (limits.isNeverPossible(task.team, task.size)) {
-        return { code: "NEVER_FITS", detail: `team ${task.team}'s whole limit cannot hold one such task` };
+        return { code: "NEVER_FITS", detail: `the task exceeds the whole limit of team ${task.team}` };
     }
     if (signal.aborted) {
-        return { code: "CANCELLED", detail: "cancelled before it was queued" };
+        return { code: "CANCELLED", detail: "canceled before it was queued" };
     }
     const queue = queues.find(task.pool, task.team);
     if (queues.isFull(task.team)) {
-        const detail = `${queues.count()} tasks wait at this entry`;
+        const detail = `the queue is full; ${queues.count()} tasks wait at this entry`;
         return { code: "QUEUE_FULL", detail, comeBack: retryAfterSeconds(queue) };
     }
-    const leftMs = task.deadlineAtMs - Date.now();
-    if (leftMs <= 0) {
+    const remainingMs = task.deadlineAtMs - Date.now();
+    if (remainingMs <= 0) {
         return { code: "DEADLINE_PASSED", detail: "the deadline had passed on arrival" };
     }
-    if (queue !== undefined && !task.urgent && estimateWaitMs(queue) > leftMs) {
-        const detail = "at the present rate the task would not start before its deadline";
+    if (queue !== undefined && !task.urgent && estimateWaitMs(queue) > remainingMs) {
+        const detail = "at the current rate the task would not start before its deadline";
         return { code: "QUEUE_FULL", detail, comeBack: retryAfterSeconds(queue) };
     }
     return undefined;
--- a/src/dispatch/index.ts
+++ b/src/dispatch/index.ts
@@ -1,3 +1,3 @@
-/** Where and when a task runs: fair order, placement, and one attempt after another. */
+/** Decides when and on which worker a task runs: fair queueing, placement, and retries. */
 export { createDispatch, type DispatchOptions } from "./createDispatch";
 export type { Dispatch, DispatchRequest } from "./dispatch";
--- a/src/dispatch/learnFromResult.ts
+++ b/src/dispatch/learnFromResult.ts
@@ -13,35 +13,35 @@
     readonly onEjected: (instance: string, pool: string) => void;
 }
 
-/** Keeps what a try tells of its task and its worker. */
-export function learnFromResult(one: Try, result: TaskResult, durationMs: number, opts: LearnOptions): void {
-    const { waiting } = one;
+/** Updates the state of the task, the load and the health of the worker from the result of an attempt. */
+export function learnFromResult(attempt: Try, result: TaskResult, durationMs: number, opts: LearnOptions): void {
+    const { waiting } = attempt;
     switch (result.kind) {
         case "answered":
             waiting.startedTries++;
-            noteHealth(one, true, durationMs, opts);
+            updateHealth(attempt, true, durationMs, opts);
             return;
         case "failed":
             waiting.startedTries++;
-            waiting.tried.add(one.instance.name);
-            noteHealth(one, false, durationMs, opts);
+            waiting.tried.add(attempt.instance.name);
+            updateHealth(attempt, false, durationMs, opts);
             return;
         case "stopped":
             waiting.startedTries++;
             return;
         case "unknown":
             waiting.startedTries++;
-            waiting.tried.add(one.instance.name);
-            if (one.stopping === undefined) {
-                noteHealth(one, false, durationMs, opts);
+            waiting.tried.add(attempt.instance.name);
+            if (attempt.stopping === undefined) {
+                updateHealth(attempt, false, durationMs, opts);
             }
             return;
         case "notRun":
-            noteRefused(one, result.reason, opts);
+            recordNotRun(attempt, result.reason, opts);
     }
 }
 
-function noteRefused(
+function recordNotRun(
     { waiting, instance }: Try,
     reason: Extract<TaskResult, { kind: "notRun"; }>["reason"],
     { loads }: LearnOptions,
@@ -61,7 +61,7 @@
     }
 }
 
-function noteHealth({ instance, waiting }: Try, isOk: boolean, durationMs: number, opts: LearnOptions): void {
+function updateHealth({ instance, waiting }: Try, isOk: boolean, durationMs: number, opts: LearnOptions): void {
     const poolSize = opts.pools.find(instance.pool)?.servingCount ?? 1;
     const slowness = Math.max(1, durationMs) / waiting.task.expectedRunMs;
     const change = opts.health.note(instance.name, instance.pool, poolSize, isOk, slowness);
--- a/src/dispatch/queueEstimates.ts
+++ b/src/dispatch/queueEstimates.ts
@@ -1,11 +1,11 @@
 import type { TeamQueue } from "./createTaskQueues";
 
-/** A rate counts when it rests on this much. */
+/** The start rate is used only after this many starts and this long a backlog. */
 const minDrained = 5;
 const minBacklogMs = 1000;
 const maxRetryAfterSeconds = 60;
 
-/** How long a task that arrives now would wait, in milliseconds; 0 where the rate is not known yet. */
+/** Estimates how long a task that arrives now waits, in milliseconds; 0 while the start rate is unknown. */
 export function estimateWaitMs(queue: TeamQueue): number {
     const backlogMs = Date.now() - queue.backlogAtMs;
     if (queue.drained < minDrained || backlogMs < minBacklogMs) {
@@ -14,7 +14,7 @@
     return queue.size() * backlogMs / queue.drained;
 }
 
-/** When it is worth coming back, in whole seconds, by the rate at which the team's queue drains. */
+/** Estimates from the start rate of the team's queue when a refused caller should retry, in whole seconds. */
 export function retryAfterSeconds(queue: TeamQueue | undefined): number {
     const waitMs = queue === undefined ? 0 : estimateWaitMs(queue);
     return Math.min(maxRetryAfterSeconds, Math.max(1, Math.ceil(waitMs / 1000)));
--- a/src/dispatch/test/dispatch.steps.ts
+++ b/src/dispatch/test/dispatch.steps.ts
@@ -17,8 +17,8 @@
     clock: Clock;
     world: DispatchWorld;
     sent: Sent[];
-    mostWaiting: number;
-    setAside: Set<string>;
+    maxWaiting: number;
+    ejected: Set<string>;
 }
 
 interface Fleet {
@@ -35,7 +35,7 @@
 Before(function(this: World) {
     this.clock = installClock();
     this.sent = [];
-    this.mostWaiting = 0;
+    this.maxWaiting = 0;
 });
 
 After(function(this: World) {
@@ -78,7 +78,7 @@
         }
         await world.clock.advance(everyMs);
         const waiting = world.world.entries.reduce((sum, { dispatch }) => sum + dispatch.counts().waiting, 0);
-        world.mostWaiting = Math.max(world.mostWaiting, waiting);
+        world.maxWaiting = Math.max(world.maxWaiting, waiting);
     }
 }
 
@@ -143,15 +143,15 @@
     worker(this, at).truncatesAnswers = true;
 });
 
-Given("worker {int} crosses its answers", function(this: World, at: number) {
+Given("worker {int} returns the answers of other tasks", function(this: World, at: number) {
     worker(this, at).crossesAnswers = true;
 });
 
-Given("worker {int} fails all it starts", function(this: World, at: number) {
+Given("worker {int} fails every task", function(this: World, at: number) {
     worker(this, at).failsAll = true;
 });
 
-Given("all workers fail all they start", function(this: World) {
+Given("all workers fail every task", function(this: World) {
     this.world.workers.workers.forEach((each) => {
         each.failsAll = true;
     });
@@ -161,7 +161,7 @@
     worker(this, at).answerDelayMs = delayMs;
 });
 
-When("a task that may not be repeated runs for {int} ms", async function(this: World, runMs: number) {
+When("a non-repeatable task runs for {int} ms", async function(this: World, runMs: number) {
     send(this, { payload: `run ${runMs}`, repeatable: false, expectedRunMs: runMs });
     await this.clock.advance(10);
 });
@@ -220,28 +220,28 @@
     },
 );
 
-When("worker {int} is well again", function(this: World, at: number) {
+When("worker {int} recovers", function(this: World, at: number) {
     worker(this, at).failsAll = false;
 });
 
-When("worker {int} leaves by the configuration", function(this: World, at: number) {
+When("worker {int} leaves, as told by the configuration", function(this: World, at: number) {
     const leaving = { kind: "draining" } as unknown as { kind: "serving"; };
     this.world.setInstance(worker(this, at).instance, { state: leaving });
 });
 
-When("worker {int} leaves by the instance list", function(this: World, at: number) {
+When("worker {int} leaves, as told by the instance list", function(this: World, at: number) {
     this.world.leaving.add(worker(this, at).instance);
 });
 
-When("worker {int} leaves by its own answer", function(this: World, at: number) {
+When("worker {int} leaves, as told by its own answer", function(this: World, at: number) {
     worker(this, at).state = "draining";
 });
 
-When("worker {int} leaves by a new assignment", function(this: World, at: number) {
+When("worker {int} leaves, as told by a new assignment", function(this: World, at: number) {
     worker(this, at).assignmentNumber = 2;
 });
 
-When("all of them are cancelled after {int} ms", async function(this: World, afterMs: number) {
+When("all of them are canceled after {int} ms", async function(this: World, afterMs: number) {
     await this.clock.advance(afterMs);
     this.sent.forEach(({ controller }) => controller.abort());
 });
@@ -257,7 +257,7 @@
     },
 );
 
-When("it is cancelled", async function(this: World) {
+When("it is canceled", async function(this: World) {
     this.sent[0]!.controller.abort();
     await this.clock.advance(10);
 });
@@ -286,7 +286,7 @@
     assert.deepEqual([codeOf(end), end?.kind === "problem" ? end.problem.outcome : ""], [code, outcome]);
 });
 
-Then("another task of the team starts only when the first is over", async function(this: World) {
+Then("another task of the team starts only after the first has ended", async function(this: World) {
     const [first] = this.sent;
     let wasTogether = false;
     const { running } = worker(this, 1);
@@ -346,17 +346,17 @@
     assert.ok(placed.length <= most, `${placed.length}`);
 });
 
-Then("at most {int} worker is set aside", function(this: World, most: number) {
-    const aside = new Set<string>();
+Then("at most {int} worker is ejected", function(this: World, most: number) {
+    const ejectedWorkers = new Set<string>();
     for (const event of this.world.entries[0]!.events) {
         if (event.kind === "workerHealth" && event.change === "ejected") {
-            aside.add(event.instance);
+            ejectedWorkers.add(event.instance);
         }
     }
-    assert.ok(aside.size <= most, [...aside].join());
+    assert.ok(ejectedWorkers.size <= most, [...ejectedWorkers].join());
 });
 
-Then("at most {int} tries were started", function(this: World, most: number) {
+Then("at most {int} attempts were started", function(this: World, most: number) {
     assert.ok(this.world.workers.starts.length <= most, `${this.world.workers.starts.length}`);
 });
 
@@ -389,8 +389,8 @@
     assert.ok(refused.every(({ end }) => end?.kind === "problem" && (end.problem.retryAfterSeconds ?? 0) > 0));
 });
 
-Then("at most {int} tasks ever waited", function(this: World, most: number) {
-    assert.ok(this.mostWaiting <= most, `${this.mostWaiting}`);
+Then("at most {int} tasks were waiting at any time", function(this: World, most: number) {
+    assert.ok(this.maxWaiting <= most, `${this.maxWaiting}`);
 });
 
 Then(
@@ -404,6 +404,6 @@
     },
 );
 
-Then("no entry had more than {int} orders under way at one worker", function(this: World, most: number) {
+Then("no entry had more than {int} requests in flight at one worker", function(this: World, most: number) {
     assert.ok(this.world.mostOrdersUnderWay() <= most);
 });
--- a/src/dispatch/waitingTask.ts
+++ b/src/dispatch/waitingTask.ts
@@ -1,25 +1,25 @@
 import type { TaskEnd } from "../tasks";
 import type { DispatchRequest } from "./dispatch";
 
-/** A task from its arrival to its end. */
+/** A task from its arrival to its end, with the state that its attempts share. */
 export interface WaitingTask extends DispatchRequest {
     readonly arrivedAtMs: number;
-    /** Instances that refused it for good, or on which a try of it failed. */
+    /** Instances that can't hold the task, or on which an attempt failed or had an unknown outcome. */
     readonly tried: Set<string>;
-    /** How often its turn has come. */
+    /** How many times the task was selected to start. */
     turns: number;
-    /** Tries that a worker may have started. */
+    /** Attempts that a worker may have started. */
     startedTries: number;
-    /** True once `beforeSend` has succeeded; it is not asked again for another try. */
+    /** True once `beforeSend` has succeeded; it isn't called again for later attempts. */
     isClaimed: boolean;
     isEnded: boolean;
-    /** When it is given up if it still waits, in milliseconds of this entry's clock. */
+    /** When the task ends if it still waits, in milliseconds of this entry's clock. */
     expiresAtMs: number;
-    /** How its latest try ended, where one was started. */
+    /** End of the latest attempt that is retried; it is the task's end if no later attempt runs. */
     lastEnd?: TaskEnd;
-    /** True where the team's limit had no room when its turn came. */
+    /** True if the team's limit had no free capacity when the task was last selected. */
     lacksRoom: boolean;
-    /** What the worker saved when the task was stopped for others. */
+    /** State that a worker saved when the task was preempted; the next attempt continues from it. */
     checkpoint?: string;
     end(end: TaskEnd): void;
 }
--- a/src/forwarding/createForwardedRuns.ts
+++ b/src/forwarding/createForwardedRuns.ts
@@ -9,10 +9,13 @@
     readonly peers: Peers;
 }
 
-/** The room was there a moment ago; a task that does not start within this goes back to where it came from. */
+/**
+ * Maximum waiting time of a forwarded task, in milliseconds. There was free capacity when it was sent, so a task that
+ * doesn't start in this time goes back to its sender.
+ */
 const maxWaitMs = 1000;
 
-/** Runs tasks that other entries pass on. They are never passed on again, so that none can go round in circles. */
+/** Runs tasks that other entries forward. They are never forwarded again, so that no task can loop between entries. */
 export function createForwardedRuns(opts: ForwardedRunsOptions): void {
     const running = new Map<string, AbortController>();
 
--- a/src/forwarding/createForwarding.ts
+++ b/src/forwarding/createForwarding.ts
@@ -12,17 +12,18 @@
     readonly limits: Limits;
     readonly peers: Peers;
     readonly report: Reporter;
+    /** Called with the result of each forwarded attempt. */
     readonly onForwarded?: (result: ForwardResult["kind"]) => void;
-    /** Longest wait for the answer of a forwarded task, in milliseconds; a broken link ends it earlier. */
+    /** Maximum wait for the answer to a forwarded task, in milliseconds; a broken connection ends the wait earlier. */
     readonly answerTimeoutMs?: number;
 }
 
 /**
- * How a forwarded try ended.
+ * Result of a forwarded attempt.
  *
- * - `ended`: the other entry says how the task ended.
- * - `notRun`: it never had the task, or says that it did not and will not run it.
- * - `lost`: it was sent, and there is no answer.
+ * - `ended`: the other entry reported how the task ended.
+ * - `notRun`: the other entry never got the task, or reported that it did not and will not run it.
+ * - `lost`: the task was sent, but there is no valid answer.
  */
 type ForwardResult =
     | { readonly kind: "ended"; readonly end: TaskEnd; }
@@ -36,26 +37,32 @@
 const defaultAnswerTimeoutMs = 24 * 3600 * 1000;
 const maxForwards = 3;
 
-/** Runs a task here, or at an entry that has room for its team while this one has none and none can be moved. */
+/**
+ * Runs each task at this entry, or at an entry with free capacity for its team while this entry has none and none can
+ * be moved to it.
+ */
 export function createForwarding(opts: ForwardingOptions): Pick<Dispatch, "run"> {
     const { dispatch, limits, peers } = opts;
     createForwardedRuns(opts);
 
-    /** Waits here for room; withdraws from the queue once another entry has room and nothing was sent yet. */
-    async function runHere(request: DispatchRequest, mayForward: boolean): Promise<LocalResult> {
+    /**
+     * Runs the task at this entry. Withdraws it from the queue if another entry gets free capacity before the task is
+     * sent to a worker.
+     */
+    async function runLocally(request: DispatchRequest, mayForward: boolean): Promise<LocalResult> {
         const { team, size } = request.task;
         const controller = new AbortController();
         const abort = () => controller.abort();
         let isStarted = false;
-        let chosen: Peer | undefined;
+        let targetPeer: Peer | undefined;
         request.signal.addEventListener("abort", abort);
         if (request.signal.aborted) {
             abort();
         }
         const stopListening = limits.onRoom((name) => {
-            if (mayForward && name === team && !isStarted && chosen === undefined) {
-                chosen = limits.findPeerWithRoom(team, size);
-                if (chosen !== undefined) {
+            if (mayForward && name === team && !isStarted && targetPeer === undefined) {
+                targetPeer = limits.findPeerWithRoom(team, size);
+                if (targetPeer !== undefined) {
                     abort();
                 }
             }
@@ -64,8 +71,8 @@
             ...request,
             signal: controller.signal,
             beforeSend() {
-                if (chosen !== undefined) {
-                    return Promise.resolve(createProblem("CANCELLED", "the task is passed on to another entry"));
+                if (targetPeer !== undefined) {
+                    return Promise.resolve(createProblem("CANCELLED", "the task is forwarded to another entry"));
                 }
                 isStarted = true;
                 return request.beforeSend();
@@ -73,8 +80,10 @@
         });
         stopListening();
         request.signal.removeEventListener("abort", abort);
-        const isWithdrawn = chosen !== undefined && !isStarted && !request.signal.aborted && isNotRun(end);
-        return isWithdrawn && chosen !== undefined ? { kind: "withdrawn", peer: chosen } : { kind: "ended", end };
+        const isWithdrawn = targetPeer !== undefined && !isStarted && !request.signal.aborted && isNotRun(end);
+        return isWithdrawn && targetPeer !== undefined
+            ? { kind: "withdrawn", peer: targetPeer }
+            : { kind: "ended", end };
     }
 
     async function forward(request: DispatchRequest, peer: Peer): Promise<ForwardResult> {
@@ -88,7 +97,7 @@
             requestId,
             team,
             toBoot: peer.boot,
-            reason: "the team's limit has room there and none here",
+            reason: "the team's limit has free capacity there and none here",
         });
         const cancel = () => void peers.send(peer.boot, forwardingTopics.cancel, { id: requestId });
         request.signal.addEventListener("abort", cancel);
@@ -103,7 +112,7 @@
 
     async function run(request: DispatchRequest): Promise<TaskEnd> {
         for (let forwards = 0;; forwards++) {
-            const local = await runHere(request, forwards < maxForwards);
+            const local = await runLocally(request, forwards < maxForwards);
             if (local.kind === "ended") {
                 return local.end;
             }
@@ -115,7 +124,7 @@
                 case "notRun":
                     break;
                 case "lost":
-                    // The other entry may have run it, or may still do so when it wakes.
+                    // The other entry may have run the task, or may still run it when it resumes after a pause.
                     if (!request.task.repeatable || request.signal.aborted) {
                         return createUnknownEnd(local.peer);
                     }
@@ -131,7 +140,7 @@
     if (data === undefined) {
         return { kind: "lost" };
     }
-    // The end comes from another entry of this project; its codes are those of `problemCodes`.
+    // The end comes from another entry, so its codes are those of `problemCodes`.
     const end = data.kind === "ended" ? data.end as TaskEnd : undefined;
     return end === undefined || isNotRun(end) ? { kind: "notRun" } : { kind: "ended", end };
 }
@@ -146,6 +155,6 @@
 }
 
 function createUnknownEnd(peer: Peer): TaskEnd {
-    const detail = `the task was passed on to entry ${peer.instance}, which did not answer`;
+    const detail = `the task was forwarded to entry ${peer.instance}, which did not answer`;
     return { kind: "problem", problem: createProblem("OUTCOME_UNKNOWN", detail, { outcome: Outcome.Unknown }) };
 }
--- a/src/forwarding/index.ts
+++ b/src/forwarding/index.ts
@@ -1,2 +1,5 @@
-/** Tasks passed on to an entry that has room in the team's limit, while none can be moved to this one. */
+/**
+ * Forwards tasks to an entry with free capacity in the team's limit while this entry has none and no capacity can be
+ * moved to it.
+ */
 export { createForwarding, type ForwardingOptions } from "./createForwarding";
--- a/src/forwarding/test/forwarding.steps.ts
+++ b/src/forwarding/test/forwarding.steps.ts
@@ -9,16 +9,16 @@
 import type { TaskEnd } from "../../tasks";
 import { createForwarding } from "../createForwarding";
 
-/** An entry with a dispatch that runs a task as soon as there is room. */
+/** An entry with a dispatch that runs a task once there are free capacity and a worker. */
 interface Entry {
     readonly peer: Peer;
     readonly peers: Peers;
     readonly started: string[];
     readonly stopped: string[];
-    readonly rooms: Set<(team: string) => void>;
-    hasRoom: boolean;
-    /** What it tells others of its room. */
-    claimsRoom: boolean;
+    readonly roomListeners: Set<(team: string) => void>;
+    hasFreeCapacity: boolean;
+    /** Whether other entries are told that it has free capacity. */
+    reportsFreeCapacity: boolean;
     hasWorker: boolean;
     onTask: () => void;
     readonly run: (request: DispatchRequest) => Promise<TaskEnd>;
@@ -59,14 +59,14 @@
     const peers = world.network.connect(peer);
     const rooms = new Set<(team: string) => void>();
     const dispatch: Dispatch = {
-        run: (request) => runWhenRoom(entry, request),
+        run: (request) => runWhenFree(entry, request),
         runningCount: () => 0,
         start() {},
         stop: () => Promise.resolve(),
     } as Pick<Dispatch, "run" | "runningCount" | "start" | "stop"> as Dispatch;
     const limits = {
-        hasRoom: () => entry.hasRoom,
-        findPeerWithRoom: () => world.entries.find((other) => other !== entry && other.claimsRoom)?.peer,
+        hasRoom: () => entry.hasFreeCapacity,
+        findPeerWithRoom: () => world.entries.find((other) => other !== entry && other.reportsFreeCapacity)?.peer,
         onRoom(listener: (team: string) => void) {
             rooms.add(listener);
             return () => rooms.delete(listener);
@@ -84,9 +84,9 @@
         peers,
         started: [],
         stopped: [],
-        rooms,
-        hasRoom,
-        claimsRoom: hasRoom,
+        roomListeners: rooms,
+        hasFreeCapacity: hasRoom,
+        reportsFreeCapacity: hasRoom,
         hasWorker: true,
         onTask: () => {},
         run,
@@ -95,9 +95,9 @@
     return entry;
 }
 
-async function runWhenRoom(entry: Entry, { task, signal, beforeSend }: DispatchRequest): Promise<TaskEnd> {
+async function runWhenFree(entry: Entry, { task, signal, beforeSend }: DispatchRequest): Promise<TaskEnd> {
     entry.onTask();
-    while (!entry.hasRoom || !entry.hasWorker) {
+    while (!entry.hasFreeCapacity || !entry.hasWorker) {
         if (signal.aborted || Date.now() >= task.deadlineAtMs) {
             return { kind: "problem", problem: createProblem("CANCELLED", "gave up") };
         }
@@ -149,18 +149,18 @@
         world.end = end;
     });
     await world.clock.tickAsync(20);
-    first.rooms.forEach((listener) => listener(team));
+    first.roomListeners.forEach((listener) => listener(team));
     await world.clock.tickAsync(20);
 }
 
-Given("entry 1 without room and entry 2 with room", function(this: World) {
+Given("entry 1 without free capacity and entry 2 with free capacity", function(this: World) {
     addEntry(this, 1, false);
     addEntry(this, 2, true);
 });
 
-Given("entry 1 without room and entry 2 whose room has just gone", function(this: World) {
+Given("entry 1 without free capacity and entry 2 whose free capacity was just used", function(this: World) {
     addEntry(this, 1, false);
-    addEntry(this, 2, false).claimsRoom = true;
+    addEntry(this, 2, false).reportsFreeCapacity = true;
 });
 
 Given("entry 2 freezes when it gets a task", function(this: World) {
@@ -168,19 +168,19 @@
     second.onTask = () => {
         this.network.frozen.add(second.peer.boot);
         this.network.cuts.add("boot-2>boot-1");
-        second.claimsRoom = false;
+        second.reportsFreeCapacity = false;
     };
 });
 
 Given("the link to entry 2 is cut while the task is claimed", function(this: World) {
     this.onClaim = () => {
         this.network.cuts.add("boot-1>boot-2");
-        this.entries[1]!.claimsRoom = false;
+        this.entries[1]!.reportsFreeCapacity = false;
     };
 });
 
-Given("entry 2 believes that entry 1 has room and finds no worker", function(this: World) {
-    this.entries[0]!.claimsRoom = true;
+Given("entry 2 is told that entry 1 has free capacity and finds no worker", function(this: World) {
+    this.entries[0]!.reportsFreeCapacity = true;
     this.entries[1]!.hasWorker = false;
 });
 
@@ -192,7 +192,7 @@
     return submit(this, true);
 });
 
-When("a task that may not be repeated comes to entry 1", function(this: World) {
+When("a non-repeatable task comes to entry 1", function(this: World) {
     return submit(this, false);
 });
 
@@ -200,20 +200,20 @@
     return submit(this, true, 60_000);
 });
 
-When("its caller gives up", async function(this: World) {
+When("its caller cancels it", async function(this: World) {
     this.controller.abort();
     await this.clock.tickAsync(100);
 });
 
-When("entry 1 gets room", async function(this: World) {
+When("entry 1 gets free capacity", async function(this: World) {
     await this.clock.tickAsync(100);
-    this.entries[0]!.hasRoom = true;
+    this.entries[0]!.hasFreeCapacity = true;
 });
 
-When("entry 1 gets room after {int} ms", async function(this: World, ms: number) {
-    this.entries[1]!.rooms.forEach((listener) => listener(team));
+When("entry 1 gets free capacity after {int} ms", async function(this: World, ms: number) {
+    this.entries[1]!.roomListeners.forEach((listener) => listener(team));
     await this.clock.tickAsync(ms);
-    this.entries[0]!.hasRoom = true;
+    this.entries[0]!.hasFreeCapacity = true;
 });
 
 Then(/^the task ends as "([^"]*)"(?: by entry (\d+))?$/, async function(this: World, outcome: string, by: string) {
--- a/src/keys/authenticateTeam.ts
+++ b/src/keys/authenticateTeam.ts
@@ -8,10 +8,10 @@
     readonly keyId: string;
 }
 
-/** Longest key text that is looked at; longer ones are not keys and are not worth hashing. */
+/** Maximum length of a key text; longer texts are not keys and are rejected without hashing them. */
 const maxKeyChars = 256;
 
-/** Finds the team whose granted key this is; `undefined` where the key is unknown or withdrawn. */
+/** Returns the team that was granted this key, or `undefined` if the key is unknown or withdrawn. */
 export function authenticateTeam(state: FleetState, keyText: string): AuthenticatedTeam | undefined {
     if (keyText.length > maxKeyChars) {
         return undefined;
--- a/src/keys/checkKey.ts
+++ b/src/keys/checkKey.ts
@@ -2,15 +2,16 @@
 import type { FleetState } from "../state";
 import { findKeys } from "./findKeys";
 
-/** What a task carries of the key that it came with. */
+/** A task's team and the id of the key with which it was submitted, if there is one. */
 export interface KeyedTask {
     readonly team: string;
     readonly keyId?: string;
 }
 
 /**
- * Looks again, right before a task is sent: a task that waited in the queue while its key was withdrawn would
- * otherwise still start, and the operator would see work of the key long after the withdrawal was in force.
+ * Checks the key again right before a task is sent, and returns a problem if it was withdrawn. Otherwise a task that
+ * was queued when its key was withdrawn would still start, and the operator would see work of that key long after the
+ * withdrawal took effect.
  */
 export function checkKey(state: FleetState | undefined, { team, keyId }: KeyedTask): Problem | undefined {
     if (keyId === undefined || state === undefined) {
--- a/src/keys/createSecret.ts
+++ b/src/keys/createSecret.ts
@@ -1,13 +1,13 @@
 import { createHash, randomBytes } from "node:crypto";
 
-/** Random bytes in a secret. */
+/** Number of random bytes in a secret. */
 const secretBytes = 32;
 
-/** A key or credential at the one moment when its text is known. */
+/** A new key or credential; its text is known only when it is created. */
 export interface Secret {
-    /** Public name of the secret, safe to show and to log. */
+    /** Public id of the secret, safe to show and to log. */
     readonly id: string;
-    /** `id.random`; shown once and never kept. */
+    /** Text of the form `id.random`; it is shown once and never stored. */
     readonly text: string;
     /** SHA-256 of the text, in hexadecimal. */
     readonly hash: string;
@@ -19,7 +19,7 @@
     return { id, text, hash: hashSecret(text) };
 }
 
-/** SHA-256 in hexadecimal; the secrets are random and long, so that a slow hash would add nothing. */
+/** SHA-256 in hexadecimal; secrets are long and random, so a slow password hash would add no security. */
 export function hashSecret(text: string): string {
     return createHash("sha256").update(text).digest("hex");
 }
--- a/src/keys/findKeys.ts
+++ b/src/keys/findKeys.ts
@@ -1,17 +1,19 @@
 import type { FleetState, TeamKey } from "../state";
 
-/** A granted key with the team that it belongs to. */
+/** A granted key and its team. */
 export interface GrantedKey {
     readonly team: string;
     readonly key: TeamKey;
 }
 
-/** States are never changed in place, so that each keeps the index that was made for it until it is collected. */
-const indexes = new WeakMap<FleetState["teams"], ReadonlyMap<string, GrantedKey>>();
+/**
+ * Indexes by the teams of a state. States are immutable, so an index stays valid until its state is garbage-collected.
+ */
+const indexByTeams = new WeakMap<FleetState["teams"], ReadonlyMap<string, GrantedKey>>();
 
-/** Granted keys by key id, indexed once for each revision of the teams. */
+/** Returns the granted keys by key id; the index is built once for each revision of the teams. */
 export function findKeys(state: FleetState): ReadonlyMap<string, GrantedKey> {
-    const known = indexes.get(state.teams);
+    const known = indexByTeams.get(state.teams);
     if (known !== undefined) {
         return known;
     }
@@ -21,6 +23,6 @@
             index.set(keyId, { team: team.name, key });
         }
     }
-    indexes.set(state.teams, index);
+    indexByTeams.set(state.teams, index);
     return index;
 }
--- a/src/keys/index.ts
+++ b/src/keys/index.ts
@@ -1,4 +1,4 @@
-/** Team keys and operator credentials: made at random, kept as hashes, compared in constant time. */
+/** Team keys and operator credentials: random texts that are stored as hashes and compared in constant time. */
 export { authenticateOperator } from "./authenticateOperator";
 export { type AuthenticatedTeam, authenticateTeam } from "./authenticateTeam";
 export { checkKey, type KeyedTask } from "./checkKey";
--- a/src/keys/test/keys.steps.ts
+++ b/src/keys/test/keys.steps.ts
@@ -75,16 +75,16 @@
     assert.equal(checkKey(this.state, { team, keyId: secret.id }), undefined);
 });
 
-/** The least of several measurements, since a busy machine only ever adds. */
+/** Returns the shortest of several measurements, because other load on the machine can only lengthen them. */
 function measureMs({ state, secrets }: World): number {
-    const tries = Array.from({ length: 5 }, () => {
+    const timesMs = Array.from({ length: 5 }, () => {
         const startedAtMs = performance.now();
         for (let round = 0; round < rounds; round++) {
             authenticateTeam(state, secrets[round % secrets.length]!.secret.text);
         }
         return performance.now() - startedAtMs;
     });
-    return Math.min(...tries);
+    return Math.min(...timesMs);
 }
 
 Then("a lookup among {int} teams takes at most {int} times as long as among {int}", function(
--- a/src/pools/createPoolIndex.ts
+++ b/src/pools/createPoolIndex.ts
@@ -9,7 +9,7 @@
     readonly configuration: Pick<Configuration, "state" | "onChange">;
 }
 
-/** Rebuilds the index when the configuration has moved on, and not before the next question. */
+/** Creates an index that is rebuilt lazily: at the first lookup after the configuration has changed. */
 export function createPoolIndex(opts: PoolIndexOptions): PoolIndex {
     let builtFrom: FleetState | undefined;
     let pools = new Map<string, IndexedPool>();
--- a/src/pools/index.ts
+++ b/src/pools/index.ts
@@ -1,3 +1,3 @@
-/** Instances by pool, worked out once for each revision of the configuration. */
+/** Index of instances by pool, built once for each revision of the configuration. */
 export { createPoolIndex, type PoolIndexOptions } from "./createPoolIndex";
 export type { IndexedPool, PoolIndex, ZoneInstances } from "./poolIndex";
--- a/src/pools/poolIndex.ts
+++ b/src/pools/poolIndex.ts
@@ -7,23 +7,24 @@
     readonly instances: readonly Instance[];
 }
 
+/** A pool with its instances, as of one revision of the configuration. */
 export interface IndexedPool {
     readonly name: string;
-    /** Serving instances by zone: the own zone, then the own region's, then the rest. */
+    /** Serving instances by zone: this entry's zone first, then the other zones of its region, then all others. */
     readonly serving: readonly ZoneInstances[];
     readonly servingCount: number;
-    /** Slots (as `tasks`) and resources of the serving instances together. */
+    /** Total slots (as `tasks`) and resources of the serving instances. */
     readonly capacity: UpperLimit;
-    /** True where some instance of the pool, in whatever state, could hold a task of this size alone. */
+    /** Returns true if an empty instance of the pool, in any state, has the capacity for a task of this size. */
     canEverFit(size: TaskSize): boolean;
-    /** The instance with most memory, for messages; `undefined` in an empty pool. */
+    /** The instance with the most memory, for error messages; `undefined` in an empty pool. */
     readonly largest: Instance | undefined;
 }
 
 export interface PoolIndex {
     find(pool: string): IndexedPool | undefined;
-    /** The instance as the newest known configuration has it. */
+    /** Returns the instance as of the newest known configuration. */
     findInstance(name: string): Instance | undefined;
-    /** Revision that the index was made from; 0 where no configuration is known. */
+    /** Returns the revision of the newest known configuration; 0 if none is known. */
     revision(): number;
 }
--- a/src/workers/createHttpWorkers.ts
+++ b/src/workers/createHttpWorkers.ts
@@ -4,9 +4,9 @@
 import type { LeaseRenewal, TaskOrder, TaskResult, WorkerAddress, WorkerFailure, Workers } from "./workers";
 
 export interface HttpWorkersOptions {
-    /** How long a short call (usage, renewal, notice) may take, in milliseconds. */
+    /** Timeout of a short call (usage, renewal, stop, command) and of connecting, in milliseconds. */
     readonly timeoutMs: number;
-    /** Most connections to one worker; one of them is kept for short calls. */
+    /** Maximum number of connections to one worker; one of them is reserved for short calls. */
     readonly connectionsPerWorker: number;
 }
 
@@ -44,12 +44,12 @@
     ),
 });
 
-const renewedSchema = z.object({ ended: z.array(z.string()) });
+const renewalResultSchema = z.object({ ended: z.array(z.string()) });
 
-/** Errors raised before any byte of the order has left: the connection was never made. */
+/** Errors raised before any byte of the request is sent, because no connection was established. */
 const notSentCodes = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "UND_ERR_CONNECT_TIMEOUT"]);
 
-/** Talks to workers over HTTP with JSON bodies, never retrying an order by itself. */
+/** Creates a client that calls workers over HTTP with JSON bodies. It never retries a request by itself. */
 export function createHttpWorkers(opts: HttpWorkersOptions): Workers {
     const agent = new Agent({
         connections: opts.connectionsPerWorker - 1,
@@ -58,10 +58,10 @@
         headersTimeout: 0,
         bodyTimeout: 0,
     });
-    /** Renewals must not wait behind tasks that fill the other connections: their leases would lapse. */
-    const shortAgent = new Agent({ connections: 1, pipelining: 1, connect: { timeout: opts.timeoutMs } });
+    /** Renewals have their own connection: if they waited behind tasks that use all the others, leases would expire. */
+    const controlAgent = new Agent({ connections: 1, pipelining: 1, connect: { timeout: opts.timeoutMs } });
 
-    async function short<T>(
+    async function callWorker<T>(
         method: "GET" | "POST",
         url: string,
         schema: z.ZodType<T>,
@@ -70,7 +70,7 @@
         try {
             const response = await request(url, {
                 method,
-                dispatcher: shortAgent,
+                dispatcher: controlAgent,
                 signal: AbortSignal.timeout(opts.timeoutMs),
                 ...body === undefined
                     ? {}
@@ -88,21 +88,25 @@
     }
 
     return {
-        runTask: (worker, order, signal) => runTask(agent, worker, order, signal),
+        runTask: (worker, runRequest, signal) => runTask(agent, worker, runRequest, signal),
         async renewLeases(worker, renewal: LeaseRenewal) {
-            return (await short("POST", `${worker.url}/leases`, renewedSchema, renewal)).map(({ ended }) => ended);
+            return (await callWorker("POST", `${worker.url}/leases`, renewalResultSchema, renewal)).map(({ ended }) =>
+                ended
+            );
         },
         async stopTask(worker, attempt, mode) {
             const url = `${worker.url}/tasks/${encodeURIComponent(attempt)}/${mode}`;
-            return (await short("POST", url, z.unknown(), {})).map(() => undefined);
+            return (await callWorker("POST", url, z.unknown(), {})).map(() => undefined);
         },
-        readUsage: (worker) => short("GET", `${worker.url}/usage`, usageSchema),
-        async notify(worker, notice) {
-            return (await short("POST", `${worker.url}/${notice.kind}`, z.unknown(), notice)).map(() => undefined);
+        readUsage: (worker) => callWorker("GET", `${worker.url}/usage`, usageSchema),
+        async notify(worker, command) {
+            return (await callWorker("POST", `${worker.url}/${command.kind}`, z.unknown(), command)).map(() =>
+                undefined
+            );
         },
         async close() {
             await agent.destroy();
-            await shortAgent.destroy();
+            await controlAgent.destroy();
         },
     };
 }
@@ -110,7 +114,7 @@
 async function runTask(
     agent: Agent,
     worker: WorkerAddress,
-    order: TaskOrder,
+    runRequest: TaskOrder,
     signal?: AbortSignal,
 ): Promise<TaskResult> {
     let text: string;
@@ -119,18 +123,18 @@
             method: "POST",
             dispatcher: agent,
             headers: { "content-type": "application/json" },
-            body: JSON.stringify(order),
+            body: JSON.stringify(runRequest),
             ...signal === undefined ? {} : { signal },
         });
         text = await response.body.text();
     }
     catch (error) {
-        return readRunError(error, signal);
+        return classifyRunError(error, signal);
     }
-    return readRunAnswer(text, order.attempt);
+    return parseRunResult(text, runRequest.attempt);
 }
 
-function readRunError(error: unknown, signal?: AbortSignal): TaskResult {
+function classifyRunError(error: unknown, signal?: AbortSignal): TaskResult {
     const code = (error as { code?: unknown; }).code;
     if (typeof code === "string" && notSentCodes.has(code)) {
         return { kind: "notRun", reason: "unreachable" };
@@ -138,8 +142,8 @@
     return { kind: "unknown", reason: signal?.aborted ? "timeout" : "connectionLost" };
 }
 
-/** An answer counts only when it is whole and carries the attempt that asked for it. */
-function readRunAnswer(text: string, attempt: string): TaskResult {
+/** Accepts an answer only if it is complete and carries the id of the requested attempt. */
+function parseRunResult(text: string, attempt: string): TaskResult {
     let json: unknown;
     try {
         json = JSON.parse(text);
--- a/src/workers/index.ts
+++ b/src/workers/index.ts
@@ -1,4 +1,4 @@
-/** Workers behind one narrow interface: tasks under leases, usage, drain and reboot. */
+/** Client of the workers: tasks under leases, usage, drain, and reboot. */
 export { createHttpWorkers, type HttpWorkersOptions } from "./createHttpWorkers";
 export type {
     LeaseRenewal,
--- a/src/workers/workers.ts
+++ b/src/workers/workers.ts
@@ -1,6 +1,6 @@
 import type { Either } from "purify-ts";
 
-/** Resources that a task asks for. */
+/** Resources that a task requests. */
 export interface TaskSize {
     readonly processors: number;
     readonly memoryMb: number;
@@ -13,34 +13,34 @@
     readonly url: string;
 }
 
-/** One attempt to run one task on one worker. */
+/** Request to run one attempt of a task on a worker. */
 export interface TaskOrder {
-    /** Unique for each attempt; the worker returns it with the answer. */
+    /** Unique id of the attempt; the worker returns it with the answer. */
     readonly attempt: string;
     readonly team: string;
     readonly pool: string;
-    /** The instance's assignment number as the entry knows it; the worker refuses a lower one than its own. */
+    /** The instance's assignment number as the entry knows it; the worker refuses a number lower than its own. */
     readonly assignmentNumber: number;
-    /** The worker ends the task when the lease is not renewed for this long. */
+    /** The worker ends the task if the lease isn't renewed for this long. */
     readonly leaseMs: number;
-    /** The boot of the entry that holds the lease. */
+    /** Boot of the entry that holds the lease. */
     readonly holder: string;
     readonly size: TaskSize;
-    /** True where the task may be checkpointed and run again elsewhere; the worker reports it with its usage. */
+    /** True if the task may be checkpointed and run again elsewhere; the worker includes this in its usage report. */
     readonly isRepeatable?: boolean;
     readonly payload: string;
-    /** What a worker saved when the task was stopped before; the task goes on from there. */
+    /** State that a worker saved when the task was stopped earlier; the task continues from it. */
     readonly checkpoint?: string;
 }
 
 /**
- * How an attempt ended.
+ * Result of an attempt.
  *
- * - `answered`: the worker ran the task and this is its whole answer.
- * - `failed`: the worker ran the task, which failed.
- * - `stopped`: the worker started the task and ended it early (a lapsed lease, a stop, a checkpoint).
- * - `notRun`: the worker refused, or no byte of the order left this process; the attempt can never run.
- * - `unknown`: the order may have been taken; nothing more can be told.
+ * - `answered`: the worker ran the task; `body` is its complete answer.
+ * - `failed`: the worker ran the task, and the task failed.
+ * - `stopped`: the worker started the task and ended it early (an expired lease, a stop, a checkpoint).
+ * - `notRun`: the worker refused, or no byte of the request left this process; the attempt can never run.
+ * - `unknown`: the worker may have accepted the request; its outcome can't be determined.
  */
 export type TaskResult =
     | { readonly kind: "answered"; readonly body: string; }
@@ -52,33 +52,35 @@
     }
     | { readonly kind: "unknown"; readonly reason: "connectionLost" | "timeout" | "truncated" | "crossed"; };
 
-/** What a worker reports of itself; it lags behind the truth. */
+/** A worker's report about itself; it lags behind the actual state. */
 export interface WorkerUsage {
     readonly slots: number;
     readonly runningTasks: number;
     readonly size: TaskSize;
     readonly state: "serving" | "draining" | "rebooting";
     readonly assignmentNumber: number;
-    /** Changes with each reboot of the worker. */
+    /** Changes on each reboot of the worker. */
     readonly workerBoot: string;
     readonly tasks: readonly {
         readonly attempt: string;
         readonly team: string;
         readonly pool: string;
         readonly holder: string;
-        /** Absent: not known, and so not to be stopped. */
+        /** If absent, it is unknown whether the task is repeatable, so it must not be stopped. */
         readonly isRepeatable?: boolean;
     }[];
 }
 
+/** Why a short call failed: no valid answer (`unavailable`), or a status other than 200 (`refused`). */
 export interface WorkerFailure {
     readonly kind: "unavailable" | "refused";
     readonly detail: string;
 }
 
+/** What the worker does with a running task: end it, end it at a checkpoint, or throttle it. */
 export type StopMode = "stop" | "checkpoint" | "throttle";
 
-/** A batch of leases of one worker that one holder renews. */
+/** Leases at one worker that one holder renews together. */
 export interface LeaseRenewal {
     readonly holder: string;
     readonly attempts: readonly string[];
@@ -86,23 +88,25 @@
 }
 
 /**
- * Takes the worker out of service, restarts it, or puts it into service in a pool.
- * Each carries an assignment number; the worker refuses one lower than its own, so that an order sent by an
- * executor which was paused has no effect.
+ * Command that takes the worker out of service, reboots it, or puts it into service in a pool. The assignment number is
+ * a fencing token: the worker refuses a number lower than its own, so that a command sent by an executor that was
+ * paused has no effect.
  */
 export type WorkerNotice =
     | { readonly kind: "drain"; readonly assignmentNumber: number; }
     | { readonly kind: "reboot"; readonly assignmentNumber: number; }
     | { readonly kind: "serve"; readonly assignmentNumber: number; readonly pool: string; };
 
-/** What workers offer; an adapter keeps the details of the wire. */
+/** Operations of workers; an adapter hides the wire protocol. */
 export interface Workers {
-    /** Runs a task to its end. An aborted signal gives `unknown` once the order may have left. */
-    runTask(worker: WorkerAddress, order: TaskOrder, signal?: AbortSignal): Promise<TaskResult>;
-    /** Gives the attempts that the worker no longer runs. */
+    /**
+     * Runs a task to its end. If the signal is aborted once the request may have been sent, the result is `unknown`.
+     */
+    runTask(worker: WorkerAddress, runRequest: TaskOrder, signal?: AbortSignal): Promise<TaskResult>;
+    /** Renews leases and returns the attempts that the worker no longer runs. */
     renewLeases(worker: WorkerAddress, renewal: LeaseRenewal): Promise<Either<WorkerFailure, readonly string[]>>;
     stopTask(worker: WorkerAddress, attempt: string, mode: StopMode): Promise<Either<WorkerFailure, void>>;
     readUsage(worker: WorkerAddress): Promise<Either<WorkerFailure, WorkerUsage>>;
-    notify(worker: WorkerAddress, notice: WorkerNotice): Promise<Either<WorkerFailure, void>>;
+    notify(worker: WorkerAddress, command: WorkerNotice): Promise<Either<WorkerFailure, void>>;
     close(): Promise<void>;
 }
