--- a/src/limits/createDivider.ts
+++ b/src/limits/createDivider.ts
@@ -19,7 +19,7 @@
 export interface DividerOptions extends LedgerStoreOptions {
     readonly shard: number;
     readonly state: () => FleetState | undefined;
-    /** Boots that may be given more: recorded, not gone, and connected now. */
+    /** Boots whose slices may grow: recorded as members, not ended, and connected now. */
     readonly eligible: () => readonly string[];
     readonly endedBoots: EndedBoots;
     readonly sendAsk: (boot: string, message: AskMessage) => void;
@@ -28,10 +28,16 @@
     readonly sendRooms: (boot: string, message: RoomsMessage) => void;
 }
 
-/** Writes the ledger of one shard; more than one entry may do so at once. */
+/**
+ * Writes the ledger of one shard. Several entries may do so at once, for example during a partition; compare-and-swap
+ * keeps their writes consistent.
+ */
 export interface Divider {
     take(boot: string, message: HoldingMessage): void;
-    /** Looks whether anything is to be done without a message: a new limit, an ended boot, an uneven spread. */
+    /**
+     * Starts a round if something has to be done that no message reports: a new limit, an ended boot, an uneven
+     * spread.
+     */
     check(): void;
     stop(): void;
 }
@@ -41,15 +47,15 @@
     readonly message: HoldingMessage;
 }
 
-/** Least time between two rounds, how long answers to an ask are waited for, and how old a report may be. */
-const roundMs = 100;
-const collectMs = 25;
-const reportMs = 2000;
-/** What a holder uses changes less than what waits there, and is told every five seconds at least. */
-const usageMs = 6000;
-const failureMs = 1000;
-const maxAskMs = 1000;
-const unevenAskMs = 5000;
+const minRoundIntervalMs = 100;
+const askReplyWaitMs = 25;
+/** Waiting tasks and free capacity of older reports are ignored. */
+const maxWaitingAgeMs = 2000;
+/** Usage stays valid longer: it changes less than waiting tasks, and holders report it at least every 5 s. */
+const maxUsageAgeMs = 6000;
+const failureRetryMs = 1000;
+const maxAskBackoffMs = 1000;
+const unevenAskIntervalMs = 5000;
 
 export function createDivider(opts: DividerOptions): Divider {
     const { shard } = opts;
@@ -57,40 +63,45 @@
     const holdings = new Map<string, Holding>();
     const releases = new Map<string, Release>();
     /** Number of each boot's newest release that this entry has promised never to write. */
-    const voided = new Map<string, number>();
-    /** Ledger revision on which a write whose answer was lost was based; it can take effect as long as that stands. */
-    let doubtfulRevision: number | undefined;
-    const lastGrowthsAtMs = new Map<string, number>();
-    let isBusy = false;
-    let isWanted = false;
+    const voidedReleaseNumbers = new Map<string, number>();
+    /**
+     * Base revision of a write whose response was lost. The write can still take effect while the ledger is at that
+     * revision.
+     */
+    let unresolvedWriteRevision: number | undefined;
+    const lastGrowthAtMsByBoot = new Map<string, number>();
+    let isRoundRunning = false;
+    let isRoundRequested = false;
     let isStopped = false;
     let timer: NodeJS.Timeout | undefined;
     let lastRoundAtMs = -Infinity;
-    let askBackoffMs = roundMs;
+    let askBackoffMs = minRoundIntervalMs;
     let lastAskAtMs = -Infinity;
     let lastUnevenAskAtMs = -Infinity;
 
-    function createInput(state: FleetState, ledger: Ledger): LedgerInput {
+    function createLedgerInput(state: FleetState, ledger: Ledger): LedgerInput {
         const now = performance.now();
-        const fresh = [...holdings].filter(([, { atMs }]) => now - atMs < usageMs);
+        const fresh = [...holdings].filter(([, { atMs }]) => now - atMs < maxUsageAgeMs);
         const leaving = new Set(fresh.filter(([, { message }]) => message.isLeaving).map(([boot]) => boot));
         return {
             shard,
             state,
             reports: new Map(fresh.map(([boot, { atMs, message }]) => [
                 boot,
-                now - atMs < reportMs ? message.reports : forgetWaiting(message.reports),
+                now - atMs < maxWaitingAgeMs ? message.reports : withoutWaiting(message.reports),
             ])),
             releases,
             leasesMs: new Map([...holdings].map(([boot, { message }]) => [boot, message.leaseMs])),
-            eligible: opts.eligible().filter((boot) => holdings.has(boot) && !leaving.has(boot)).sort(byLastGrowth),
+            eligible: opts.eligible().filter((boot) => holdings.has(boot) && !leaving.has(boot)).sort(
+                byLeastRecentGrowth,
+            ),
             ended: opts.endedBoots.findEnded(ledger),
         };
     }
 
-    /** Where a limit is smaller than the number of boots, a fixed order would let the same ones wait for ever. */
-    function byLastGrowth(a: string, b: string): number {
-        return (lastGrowthsAtMs.get(a) ?? 0) - (lastGrowthsAtMs.get(b) ?? 0) || (a < b ? -1 : 1);
+    /** If a limit is smaller than the number of boots, a fixed order would starve the same boots forever. */
+    function byLeastRecentGrowth(a: string, b: string): number {
+        return (lastGrowthAtMsByBoot.get(a) ?? 0) - (lastGrowthAtMsByBoot.get(b) ?? 0) || (a < b ? -1 : 1);
     }
 
     function sendSlices(boot: string): void {
@@ -121,29 +132,29 @@
         }, delayMs);
     }
 
-    function wake(): void {
-        isWanted = true;
-        if (!isBusy) {
-            schedule(Math.max(1, lastRoundAtMs + roundMs - performance.now()));
+    function requestRound(): void {
+        isRoundRequested = true;
+        if (!isRoundRunning) {
+            schedule(Math.max(1, lastRoundAtMs + minRoundIntervalMs - performance.now()));
         }
     }
 
     async function run(): Promise<void> {
-        if (isBusy || isStopped) {
+        if (isRoundRunning || isStopped) {
             return;
         }
-        isBusy = true;
-        isWanted = false;
+        isRoundRunning = true;
+        isRoundRequested = false;
         lastRoundAtMs = performance.now();
         const next = await runRound();
-        isBusy = false;
+        isRoundRunning = false;
         switch (next) {
             case "done":
-                return isWanted ? wake() : undefined;
+                return isRoundRequested ? requestRound() : undefined;
             case "soon":
-                return schedule(roundMs);
+                return schedule(minRoundIntervalMs);
             case "failed":
-                return schedule(failureMs);
+                return schedule(failureRetryMs);
         }
     }
 
@@ -153,14 +164,17 @@
             return "done";
         }
         if (!(await store.refresh())) {
-            dropReleases();
-            await offerRooms();
-            return isNeeded() ? "failed" : "done";
+            voidReleases();
+            await offerPeerCapacity();
+            return hasPendingWork() ? "failed" : "done";
         }
         const { ledger = emptyLedger } = store.known();
-        const shortages = findShortages(planLedger(ledger, createInput(state, ledger)), createInput(state, ledger));
-        if (await askFor(shortages)) {
-            await pause(collectMs);
+        const shortages = findShortages(
+            planLedger(ledger, createLedgerInput(state, ledger)),
+            createLedgerInput(state, ledger),
+        );
+        if (await sendAsksIfDue(shortages)) {
+            await pause(askReplyWaitMs);
         }
         const written = await writeNext();
         if (written !== "done") {
@@ -175,45 +189,48 @@
         if (state === undefined) {
             return "done";
         }
-        const planned = planLedger(before, createInput(state, before));
+        const planned = planLedger(before, createLedgerInput(state, before));
         if (planned === before) {
             return "done";
         }
         const { revision } = store.known();
         const result = await store.write(planned);
-        doubtfulRevision = result === "unknown" ? revision : doubtfulRevision;
+        unresolvedWriteRevision = result === "unknown" ? revision : unresolvedWriteRevision;
         const { ledger: after = emptyLedger } = store.known();
         if (result === "written") {
             const boots = new Set([...Object.keys(before.holders), ...Object.keys(after.holders)]);
             [...boots].filter((boot) => !isSameSlices(before, after, boot)).forEach(sendSlices);
-            noteGrowth([...boots].filter((boot) => isGrown(before, after, boot)));
-            dropTakenReleases(after);
+            recordGrowth([...boots].filter((boot) => isGrown(before, after, boot)));
+            forgetRecordedReleases(after);
             return "done";
         }
         if (result === "unavailable") {
-            dropReleases();
+            voidReleases();
         }
         return result === "conflict" ? "soon" : "failed";
     }
 
-    function noteGrowth(boots: readonly string[]): void {
-        boots.forEach((boot) => lastGrowthsAtMs.set(boot, performance.now()));
-        askBackoffMs = boots.length > 0 ? roundMs : askBackoffMs;
+    function recordGrowth(boots: readonly string[]): void {
+        boots.forEach((boot) => lastGrowthAtMsByBoot.set(boot, performance.now()));
+        askBackoffMs = boots.length > 0 ? minRoundIntervalMs : askBackoffMs;
     }
 
-    /** Hands room back that holders gave up, while the service does not answer and nothing of it is on its way. */
-    function dropReleases(): void {
-        if (doubtfulRevision !== undefined && store.known().revision <= doubtfulRevision) {
+    /**
+     * Voids releases that the platform cannot store now, so that their holders can use the capacity again. Does nothing
+     * while an earlier write may still take effect.
+     */
+    function voidReleases(): void {
+        if (unresolvedWriteRevision !== undefined && store.known().revision <= unresolvedWriteRevision) {
             return;
         }
         for (const [boot, { number }] of releases) {
             releases.delete(boot);
-            voided.set(boot, number);
+            voidedReleaseNumbers.set(boot, number);
             opts.sendVoid(boot, { shard, number });
         }
     }
 
-    function dropTakenReleases(ledger: Ledger): void {
+    function forgetRecordedReleases(ledger: Ledger): void {
         for (const [boot, { number }] of releases) {
             if (number <= (ledger.holders[boot]?.releaseNumber ?? Infinity)) {
                 releases.delete(boot);
@@ -221,25 +238,25 @@
         }
     }
 
-    /** Gives true where holders were asked. Asks that bring nothing are repeated less and less often. */
-    async function askFor(shortages: readonly Shortage[]): Promise<boolean> {
+    /** Returns true if asks were sent. Asks that free nothing are repeated with exponential backoff. */
+    async function sendAsksIfDue(shortages: readonly Shortage[]): Promise<boolean> {
         const now = performance.now();
         const urgent = shortages.filter(({ isUrgent }) => isUrgent);
-        const isUnevenDue = urgent.length === 0 && now - lastUnevenAskAtMs >= unevenAskMs;
+        const isUnevenDue = urgent.length === 0 && now - lastUnevenAskAtMs >= unevenAskIntervalMs;
         const chosen = isUnevenDue ? shortages : urgent;
         if (chosen.length === 0) {
-            askBackoffMs = roundMs;
+            askBackoffMs = minRoundIntervalMs;
             return false;
         }
         if (urgent.length > 0 && now - lastAskAtMs < askBackoffMs) {
             return false;
         }
-        // A release binds its holder although the ledger cannot take it in; so none is asked for before the
-        // service has answered, or room would lie idle for as long as the service is down.
+        // A release takes effect at its holder even if the ledger cannot be written. So asks are sent only after the
+        // platform has responded; otherwise capacity would stay unused for as long as the platform is down.
         if (!store.isFresh() && !(await store.reload())) {
             return false;
         }
-        askBackoffMs = urgent.length > 0 ? Math.min(maxAskMs, askBackoffMs * 1.5) : roundMs;
+        askBackoffMs = urgent.length > 0 ? Math.min(maxAskBackoffMs, askBackoffMs * 1.5) : minRoundIntervalMs;
         lastAskAtMs = now;
         lastUnevenAskAtMs = isUnevenDue ? now : lastUnevenAskAtMs;
         sendAsks(chosen);
@@ -256,23 +273,26 @@
         }
     }
 
-    /** While the ledger cannot be written, tasks that wait are sent to where room is, in place of the room. */
-    async function offerRooms(): Promise<void> {
+    /**
+     * While the ledger cannot be written, capacity cannot move. Tells entries with waiting tasks which entries have
+     * free capacity.
+     */
+    async function offerPeerCapacity(): Promise<void> {
         const teams = waitingTeams();
         if (teams.length === 0) {
             return;
         }
         const question = Object.fromEntries(teams.map((team) => [team, { give: noUnits }]));
         opts.eligible().forEach((boot) => opts.sendAsk(boot, { shard, teams: question }));
-        await pause(collectMs);
-        teams.forEach(offerRoom);
+        await pause(askReplyWaitMs);
+        teams.forEach(offerPeerCapacityOf);
     }
 
-    function offerRoom(team: string): void {
+    function offerPeerCapacityOf(team: string): void {
         const now = performance.now();
         const reports = [...holdings].flatMap(([boot, { atMs, message }]) => {
             const report = message.reports[team];
-            return report === undefined || now - atMs >= reportMs ? [] : [{ boot, report }];
+            return report === undefined || now - atMs >= maxWaitingAgeMs ? [] : [{ boot, report }];
         });
         const rooms = reports.filter(({ report }) => isNoUnits(report.waiting))
             .map(({ boot, report }) => ({ boot, room: clampUnits(subtractUnits(report.held, report.used)) }))
@@ -285,7 +305,7 @@
 
     function waitingTeams(): readonly string[] {
         const now = performance.now();
-        const fresh = [...holdings.values()].filter(({ atMs }) => now - atMs < reportMs);
+        const fresh = [...holdings.values()].filter(({ atMs }) => now - atMs < maxWaitingAgeMs);
         return [
             ...new Set(
                 fresh.flatMap(({ message }) =>
@@ -295,7 +315,7 @@
         ];
     }
 
-    function isNeeded(): boolean {
+    function hasPendingWork(): boolean {
         return releases.size > 0 || waitingTeams().length > 0;
     }
 
@@ -304,12 +324,12 @@
             holdings.set(boot, { atMs: performance.now(), message });
             const { ledger, revision } = store.known();
             const recorded = ledger?.holders[boot]?.releaseNumber ?? 0;
-            takeRelease(boot, message.release, recorded);
+            recordRelease(boot, message.release, recorded);
             if (revision > message.revision) {
                 sendSlices(boot);
             }
-            if (isNeeded() || ledger === undefined) {
-                wake();
+            if (hasPendingWork() || ledger === undefined) {
+                requestRound();
             }
         },
         check() {
@@ -317,15 +337,15 @@
             const known = opts.eligible();
             [...holdings.keys()].filter((boot) => !known.includes(boot)).forEach((boot) => {
                 holdings.delete(boot);
-                lastGrowthsAtMs.delete(boot);
+                lastGrowthAtMsByBoot.delete(boot);
             });
-            if (state !== undefined && !isBusy) {
+            if (state !== undefined && !isRoundRunning) {
                 const { ledger = emptyLedger } = store.known();
-                const input = createInput(state, ledger);
+                const input = createLedgerInput(state, ledger);
                 opts.endedBoots.prove(ledger);
                 const isIdle = planLedger(ledger, input) === ledger && findShortages(ledger, input).length === 0;
                 if (!isIdle) {
-                    wake();
+                    requestRound();
                 }
             }
         },
@@ -335,8 +355,8 @@
         },
     };
 
-    function takeRelease(boot: string, release: Release | undefined, recorded: number): void {
-        const dropped = voided.get(boot) ?? 0;
+    function recordRelease(boot: string, release: Release | undefined, recorded: number): void {
+        const dropped = voidedReleaseNumbers.get(boot) ?? 0;
         if (release === undefined || release.number <= Math.max(recorded, releases.get(boot)?.number ?? 0)) {
             return;
         }
@@ -349,7 +369,7 @@
     }
 }
 
-function forgetWaiting(reports: Readonly<Record<string, TeamReport>>): Readonly<Record<string, TeamReport>> {
+function withoutWaiting(reports: Readonly<Record<string, TeamReport>>): Readonly<Record<string, TeamReport>> {
     return Object.fromEntries(
         Object.entries(reports).map(([team, report]) => [team, { ...report, waiting: noUnits, next: noUnits }]),
     );
--- a/src/limits/createEndedBoots.ts
+++ b/src/limits/createEndedBoots.ts
@@ -1,51 +1,53 @@
 import type { Members } from "../members";
 import type { Ledger } from "./ledger";
 
-/** Covers the difference between the clocks of a worker and of an entry over one lease. */
+/** Covers the drift between the clocks of a worker and an entry during one lease. */
 export const leaseMarginMs = 5000;
 
-/** Least time between two proofs that boots which nobody here ever saw have gone; each is a write. */
-const proofMs = 10_000;
+/** Each proof that boots unknown to this entry have ended costs a write. */
+const minProofIntervalMs = 10_000;
 
 export interface EndedBoots {
-    /** Holders that ended so long ago that none of their tasks can run any more. */
+    /** Returns the holders that have ended and whose task leases have all expired. Their slices can be reclaimed. */
     findEnded(ledger: Ledger): ReadonlySet<string>;
-    /** Holders for which only the platform can tell whether they are gone. */
+    /** Starts a proof, through the platform, for holders that this entry cannot tell to be running or ended. */
     prove(ledger: Ledger): void;
 }
 
 export function createEndedBoots(members: Members): EndedBoots {
-    /** By this entry's own clock: a time from elsewhere could lie before the boot's end. */
-    const firstSeenGoneAtMs = new Map<string, number>();
-    const proved = new Set<string>();
+    /** Measured by this entry's own clock. A time from another process could be earlier than the boot's end. */
+    const firstSeenEndedAtMs = new Map<string, number>();
+    const provedEnded = new Set<string>();
     let lastProofAtMs = -Infinity;
 
-    function isEnded(boot: string, leaseMs: number): boolean {
-        if (!members.isGone(boot) && !proved.has(boot)) {
-            firstSeenGoneAtMs.delete(boot);
+    function isReclaimable(boot: string, leaseMs: number): boolean {
+        if (!members.isGone(boot) && !provedEnded.has(boot)) {
+            firstSeenEndedAtMs.delete(boot);
             return false;
         }
         const now = performance.now();
-        const seenAtMs = firstSeenGoneAtMs.get(boot) ?? now;
-        firstSeenGoneAtMs.set(boot, seenAtMs);
+        const seenAtMs = firstSeenEndedAtMs.get(boot) ?? now;
+        firstSeenEndedAtMs.set(boot, seenAtMs);
         return now - seenAtMs >= leaseMs + leaseMarginMs;
     }
 
     function isUnclear(boot: string): boolean {
         const recorded = members.recorded();
         return recorded !== undefined && !recorded.some((member) => member.boot === boot)
-            && !members.isGone(boot) && !proved.has(boot);
+            && !members.isGone(boot) && !provedEnded.has(boot);
     }
 
     return {
         findEnded: ({ holders }) =>
-            new Set(Object.entries(holders).flatMap(([boot, { leaseMs }]) => isEnded(boot, leaseMs) ? [boot] : [])),
+            new Set(
+                Object.entries(holders).flatMap(([boot, { leaseMs }]) => isReclaimable(boot, leaseMs) ? [boot] : []),
+            ),
         prove({ holders }) {
             const unclear = Object.keys(holders).filter(isUnclear);
             const now = performance.now();
-            if (unclear.length > 0 && now - lastProofAtMs >= proofMs) {
+            if (unclear.length > 0 && now - lastProofAtMs >= minProofIntervalMs) {
                 lastProofAtMs = now;
-                void members.proveGone(unclear).then((gone) => gone?.forEach((boot) => proved.add(boot)));
+                void members.proveGone(unclear).then((gone) => gone?.forEach((boot) => provedEnded.add(boot)));
             }
         },
     };
--- a/src/limits/createHolder.ts
+++ b/src/limits/createHolder.ts
@@ -19,46 +19,46 @@
 } from "./units";
 
 export interface HolderOptions {
+    /** Longest lease of this entry's tasks. */
     readonly leaseMs: number;
     /** The team's limit in the configuration that this entry knows. */
     readonly limitOf: (team: string) => Units;
-    /** Called when something of the shard should be told to its divider soon. */
+    /** Called when the shard's allocator should get a report soon. */
     readonly onNews: (shard: number) => void;
     readonly onRoom: (team: string) => void;
 }
 
-/** This entry's part: what runs here, what waits here, and what is given up. */
+/** This entry's own slices: tracks which tasks use them, which demand waits, and what is released. */
 export interface Holder {
     tryTake(team: string, size: TaskSize): Hold | undefined;
     release(hold: Hold): void;
     noteDemand(team: string, size: TaskSize, requestId: string): void;
     dropDemand(team: string, requestId: string): void;
-    /** Room that is held here and not in use, for a task forwarded here. */
+    /** Returns the unused capacity of this entry's slice. Checked before a task that was forwarded here is run. */
     roomOf(team: string): Units;
     answerAsk(ask: AskMessage): void;
     adopt(message: SlicesMessage): void;
-    /** A divider that cannot write has dropped a release. */
+    /** Handles an allocator's promise never to write a release. */
     takeVoid(message: VoidMessage, from: string): void;
     noteSent(shard: number, boot: string): void;
-    /** Gives up every slice but what is in use; further room is given up as it comes free. */
+    /** Releases every slice except what is in use. The rest is released as tasks end. */
     leave(): void;
     describe(shard: number): HoldingMessage;
-    /** True while something has to reach the divider: a release, or a task that waits. */
+    /** True while the allocator has to learn of a release or of a waiting task. */
     isUrgent(shard: number): boolean;
     hasPendingRelease(shard: number): boolean;
     isEmpty(): boolean;
-    /** Teams for which tasks wait here; notes that were not renewed are forgotten. */
+    /** Returns the teams with waiting tasks. Drops demand records that have expired. */
     waitingTeams(): readonly string[];
 }
 
-/** How long a note of demand counts, and how long an ask binds, in milliseconds. */
-const demandMs = 1000;
-const askMs = 1500;
+const demandTtlMs = 1000;
+const askTtlMs = 1500;
 
 interface TeamState {
     used: Units;
     readonly waiting: Map<string, { readonly units: Units; readonly untilMs: number; }>;
-    /** Room that a divider asked for and that was not free then. */
+    /** Amount that an allocator has asked for and that was not free then. */
     owed: Units;
     ceiling: Units | undefined;
     askedUntilMs: number;
@@ -84,13 +84,13 @@
         return performance.now() < askedUntilMs;
     }
 
-    function allowanceOf(team: string): Units {
+    function usableAmountOf(team: string): Units {
         const state = stateOf(team);
         const cap = minUnits(slices.capOf(team), opts.limitOf(team));
         return state.ceiling !== undefined && isAsked(state) ? minUnits(cap, state.ceiling) : cap;
     }
 
-    function liveWaiting(state: TeamState): readonly Units[] {
+    function unexpiredWaiting(state: TeamState): readonly Units[] {
         const now = performance.now();
         for (const [id, { untilMs }] of state.waiting) {
             if (untilMs <= now) {
@@ -102,7 +102,7 @@
 
     function reportOf(team: string): TeamReport {
         const state = stateOf(team);
-        const waiting = liveWaiting(state);
+        const waiting = unexpiredWaiting(state);
         return {
             used: state.used,
             waiting: sumUnits(waiting),
@@ -111,13 +111,14 @@
         };
     }
 
-    /** What stays here when a divider asks: everything in use, and idle room beyond what is asked for. */
-    function keepOf(team: string): Units {
+    /** Returns what stays here after an ask: everything in use, and idle capacity beyond the amount asked for. */
+    function amountToKeep(team: string): Units {
         const state = stateOf(team);
         const cap = slices.capOf(team);
-        const waiting = liveWaiting(state);
+        const waiting = unexpiredWaiting(state);
         const free = clampUnits(subtractUnits(cap, state.used));
-        // Room too small for any task that waits here may complete one elsewhere; kept, it would serve nobody.
+        // Capacity too small for every task that waits here may complete the capacity for a task elsewhere.
+        // Kept here, it would stay unused.
         const isUseful = waiting.some((units) => fitsWithin(units, free));
         const needed = addUnits(state.used, isUseful ? sumUnits(waiting) : noUnits);
         const idle = clampUnits(subtractUnits(cap, needed));
@@ -125,11 +126,11 @@
         return state.ceiling === undefined ? kept : minUnits(kept, maxUnits(state.used, state.ceiling));
     }
 
-    function giveUp(teamNames: readonly string[]): void {
+    function giveUpExcess(teamNames: readonly string[]): void {
         const keeps = new Map<number, Record<string, Units>>();
         for (const team of teamNames) {
             const cap = slices.capOf(team);
-            const keep = minUnits(cap, keepOf(team));
+            const keep = minUnits(cap, amountToKeep(team));
             if (!isSameUnits(keep, cap)) {
                 const state = stateOf(team);
                 state.owed = clampUnits(subtractUnits(state.owed, subtractUnits(cap, keep)));
@@ -140,15 +141,15 @@
         keeps.forEach((byTeam, shard) => slices.lower(shard, byTeam));
     }
 
-    function noteAsk(team: string, { give, ceiling }: TeamAsk): void {
+    function recordAsk(team: string, { give, ceiling }: TeamAsk): void {
         const state = stateOf(team);
         state.owed = give;
         state.ceiling = ceiling;
-        state.askedUntilMs = performance.now() + askMs;
+        state.askedUntilMs = performance.now() + askTtlMs;
     }
 
-    /** Asks lapse, so that one whose divider has ended does not bind for ever. */
-    function dropLapsedAsk(state: TeamState): void {
+    /** Asks expire, so that an ask of an ended allocator does not stay in effect forever. */
+    function dropExpiredAsk(state: TeamState): void {
         if (!isAsked(state) && !isLeaving) {
             state.owed = noUnits;
             state.ceiling = undefined;
@@ -159,7 +160,7 @@
         tryTake(team, size) {
             const units = toTaskUnits(size);
             const state = stateOf(team);
-            if (isLeaving || !fitsWithin(addUnits(state.used, units), allowanceOf(team))) {
+            if (isLeaving || !fitsWithin(addUnits(state.used, units), usableAmountOf(team))) {
                 return undefined;
             }
             const hold = { id: nextId++, team, size };
@@ -175,9 +176,9 @@
             holds.delete(hold.id);
             const state = stateOf(hold.team);
             state.used = subtractUnits(state.used, units);
-            dropLapsedAsk(state);
+            dropExpiredAsk(state);
             const before = slices.capOf(hold.team);
-            giveUp([hold.team]);
+            giveUpExcess([hold.team]);
             if (!isSameUnits(before, slices.capOf(hold.team))) {
                 opts.onNews(shardOf(hold.team));
             }
@@ -186,21 +187,21 @@
         noteDemand(team, size, requestId) {
             const state = stateOf(team);
             const isNew = !state.waiting.has(requestId);
-            state.waiting.set(requestId, { units: toTaskUnits(size), untilMs: performance.now() + demandMs });
+            state.waiting.set(requestId, { units: toTaskUnits(size), untilMs: performance.now() + demandTtlMs });
             if (isNew) {
                 opts.onNews(shardOf(team));
             }
         },
         dropDemand: (team, requestId) => void stateOf(team).waiting.delete(requestId),
-        roomOf: (team) => clampUnits(subtractUnits(allowanceOf(team), stateOf(team).used)),
+        roomOf: (team) => clampUnits(subtractUnits(usableAmountOf(team), stateOf(team).used)),
         answerAsk({ teams: asked }) {
-            Object.entries(asked).forEach(([team, ask]) => noteAsk(team, ask));
-            giveUp(Object.keys(asked));
+            Object.entries(asked).forEach(([team, ask]) => recordAsk(team, ask));
+            giveUpExcess(Object.keys(asked));
         },
         adopt(message) {
             const grown = slices.adopt(message);
             if (isLeaving) {
-                giveUp(Object.keys(message.slices));
+                giveUpExcess(Object.keys(message.slices));
             }
             grown.forEach((team) => {
                 stateOf(team).ceiling = isLeaving ? noUnits : undefined;
@@ -220,7 +221,7 @@
                 stateOf(team).ceiling = noUnits;
                 stateOf(team).waiting.clear();
             });
-            giveUp(held);
+            giveUpExcess(held);
         },
         describe(shard) {
             const names = new Set([...slices.teamsOf(shard), ...teams.keys()]);
@@ -241,14 +242,14 @@
         },
         isUrgent(shard) {
             return slices.pendingRelease(shard) !== undefined
-                || [...teams].some(([team, state]) => shardOf(team) === shard && liveWaiting(state).length > 0);
+                || [...teams].some(([team, state]) => shardOf(team) === shard && unexpiredWaiting(state).length > 0);
         },
         hasPendingRelease: (shard) => slices.pendingRelease(shard) !== undefined,
         isEmpty: () => [...allShardTeams(slices)].length === 0,
         waitingTeams() {
             teams.forEach((state, team) => {
-                dropLapsedAsk(state);
-                if (isNoUnits(state.used) && liveWaiting(state).length === 0 && !isAsked(state) && !isLeaving) {
+                dropExpiredAsk(state);
+                if (isNoUnits(state.used) && unexpiredWaiting(state).length === 0 && !isAsked(state) && !isLeaving) {
                     teams.delete(team);
                 }
             });
--- a/src/limits/createLedgerStore.ts
+++ b/src/limits/createLedgerStore.ts
@@ -8,41 +8,44 @@
     readonly onWrite?: (result: WriteResult) => void;
 }
 
-/** `unknown`: the answer was lost; the ledger is read again before anything is done with it. */
+/** `unknown`: the response was lost, so the write may have taken effect. The ledger is read again before it is used. */
 export type WriteResult = "written" | "conflict" | "unavailable" | "unknown" | "refused";
 
-/** One ledger value as this entry last saw it, at a revision at which it truly stood so. */
+/** Cached copy of one ledger, with the revision at which the platform stored exactly this value. */
 export interface LedgerStore {
     known(): { readonly ledger: Ledger | undefined; readonly revision: number; };
-    /** Reads the value where it is not known; gives false where the service does not answer. */
+    /**
+     * Reads the ledger if the cached copy may be stale. Resolves to false if the platform does not respond or the
+     * value can't be parsed.
+     */
     refresh(): Promise<boolean>;
     reload(): Promise<boolean>;
-    /** True where the service has answered a moment ago and has not failed since. */
+    /** True if the platform has responded within the last `maxFreshAgeMs` and has not failed since. */
     isFresh(): boolean;
     write(ledger: Ledger): Promise<WriteResult>;
 }
 
-const freshMs = 300;
+const maxFreshAgeMs = 300;
 
 export function createLedgerStore(opts: LedgerStoreOptions): LedgerStore {
     const key = ledgerKey(opts.shard);
     let ledger: Ledger | undefined;
     let revision = 0;
-    let isDoubtful = true;
-    let answeredAtMs = -Infinity;
+    let mustReload = true;
+    let lastAnswerAtMs = -Infinity;
 
-    function adopt(text: string | undefined, at: number): boolean {
-        answeredAtMs = performance.now();
+    function applyStored(text: string | undefined, at: number): boolean {
+        lastAnswerAtMs = performance.now();
         const parsed = text === undefined ? emptyLedger : parseLedger(text);
         if (parsed === undefined) {
-            isDoubtful = true;
+            mustReload = true;
             return false;
         }
         if (at >= revision) {
             ledger = parsed;
             revision = at;
         }
-        isDoubtful = false;
+        mustReload = false;
         return true;
     }
 
@@ -50,33 +53,33 @@
         const read = await opts.platform.read(key);
         return read.caseOf({
             Left: () => {
-                answeredAtMs = -Infinity;
-                isDoubtful = true;
+                lastAnswerAtMs = -Infinity;
+                mustReload = true;
                 return false;
             },
-            Right: (stored) => adopt(stored?.text, stored?.revision ?? 0),
+            Right: (stored) => applyStored(stored?.text, stored?.revision ?? 0),
         });
     }
 
-    async function swap(next: Ledger): Promise<WriteResult> {
+    async function compareAndSwap(next: Ledger): Promise<WriteResult> {
         const written = await opts.platform.compareAndSwap(key, revision, formatLedger(next));
         return written.caseOf<WriteResult>({
             Left: (failure) => {
                 switch (failure.kind) {
                     case "conflict":
-                        adopt(failure.current?.text, failure.current?.revision ?? 0);
+                        applyStored(failure.current?.text, failure.current?.revision ?? 0);
                         return "conflict";
                     case "unavailable":
                     case "unknown":
-                        isDoubtful = true;
-                        answeredAtMs = -Infinity;
+                        mustReload = true;
+                        lastAnswerAtMs = -Infinity;
                         return failure.kind;
                     case "tooLarge":
                         return "refused";
                 }
             },
             Right: (at) => {
-                answeredAtMs = performance.now();
+                lastAnswerAtMs = performance.now();
                 ledger = next;
                 revision = at;
                 return "written";
@@ -86,11 +89,11 @@
 
     return {
         known: () => ({ ledger, revision }),
-        refresh: () => isDoubtful ? reload() : Promise.resolve(true),
+        refresh: () => mustReload ? reload() : Promise.resolve(true),
         reload,
-        isFresh: () => !isDoubtful && performance.now() - answeredAtMs < freshMs,
+        isFresh: () => !mustReload && performance.now() - lastAnswerAtMs < maxFreshAgeMs,
         async write(next) {
-            const result = await swap(next);
+            const result = await compareAndSwap(next);
             opts.onWrite?.(result);
             return result;
         },
--- a/src/limits/createLimits.ts
+++ b/src/limits/createLimits.ts
@@ -31,43 +31,48 @@
     readonly members: Members;
     readonly peers: Peers;
     readonly metrics?: Metrics;
-    /** Longest lease of this entry's tasks, in milliseconds. */
+    /** Longest lease of this entry's tasks. */
     readonly leaseMs: number;
 }
 
 const tickMs = 250;
 const ticksPerCheck = 4;
-/** News are gathered for this long, so that one message carries many. */
-const gatherMs = 3;
-/** A holder that has nothing to tell still says that it is there. */
-const idleReportMs = 5000;
-const repeatMs = 250;
-/** The divider has not acted for this long: this entry writes its own change. */
-const selfHelpMs = 800;
-const stopMs = 2000;
+/** Batches changes into one report. */
+const reportDelayMs = 3;
+/** A holder with nothing to report still sends heartbeats. */
+const idleReportIntervalMs = 5000;
+const urgentReportIntervalMs = 250;
+/** If the allocator has not acted for this long, this entry writes its own change. */
+const takeOverAfterMs = 800;
+const maxStopMs = 2000;
 
-interface ShardTimes {
+interface ShardReporting {
     sentAtMs: number;
     sentTo: string | undefined;
     urgentSinceMs: number | undefined;
-    gathering: NodeJS.Timeout | undefined;
+    reportTimer: NodeJS.Timeout | undefined;
 }
 
-/** Divides each team's limit over the entries and counts the tasks of this entry against its slices. */
+/** Divides each team's limit over the entries, and counts this entry's tasks against its slices. */
 export function createLimits(opts: LimitsOptions): Limits {
     const { peers, members, configuration } = opts;
     const { boot } = peers.self;
     const listeners = new Set<(team: string) => void>();
-    const rooms = createPeerRooms(peers);
+    const peerCapacity = createPeerRooms(peers);
     const timers = new Set<NodeJS.Timeout>();
     const endedBoots = createEndedBoots(members);
-    const holder = createHolder({ leaseMs: opts.leaseMs, limitOf: ownLimitOf, onNews: gather, onRoom: callListeners });
-    const dividers = Array.from({ length: shardCount }, (_, shard) => createShardDivider(shard));
-    const times = Array.from({ length: shardCount }, (): ShardTimes => ({
+    const holder = createHolder({
+        leaseMs: opts.leaseMs,
+        limitOf: ownLimitOf,
+        onNews: scheduleReport,
+        onRoom: notifyListeners,
+    });
+    const allocators = Array.from({ length: shardCount }, (_, shard) => createShardAllocator(shard));
+    const reportingByShard = Array.from({ length: shardCount }, (): ShardReporting => ({
         sentAtMs: -Infinity,
         sentTo: undefined,
         urgentSinceMs: undefined,
-        gathering: undefined,
+        reportTimer: undefined,
     }));
     let ticks = 0;
     let ticker: NodeJS.Timeout | undefined;
@@ -77,7 +82,7 @@
         return state === undefined ? noUnits : limitOf(state, team);
     }
 
-    function callListeners(team: string): void {
+    function notifyListeners(team: string): void {
         listeners.forEach((listener) => listener(team));
     }
 
@@ -87,7 +92,7 @@
             .filter((each) => connected.has(each) && !members.isGone(each));
     }
 
-    function createShardDivider(shard: number): Divider {
+    function createShardAllocator(shard: number): Divider {
         return createDivider({
             platform: opts.platform,
             shard,
@@ -98,7 +103,8 @@
             sendSlices: (to, message) => to === boot ? receiveSlices(message) : send(to, limitTopics.slices, message),
             sendVoid: (to, message) =>
                 to === boot ? holder.takeVoid(message, boot) : send(to, limitTopics.void, message),
-            sendRooms: (to, message) => to === boot ? rooms.learn(message) : send(to, limitTopics.rooms, message),
+            sendRooms: (to, message) =>
+                to === boot ? peerCapacity.learn(message) : send(to, limitTopics.rooms, message),
             onWrite: (result) => opts.metrics?.limitWrites.inc({ result }),
         });
     }
@@ -115,7 +121,7 @@
     function receiveSlices(message: SlicesMessage): void {
         holder.adopt(message);
         if (holder.hasPendingRelease(message.shard)) {
-            gather(message.shard);
+            scheduleReport(message.shard);
         }
     }
 
@@ -123,7 +129,7 @@
         const message = holder.describe(shard);
         holder.noteSent(shard, to);
         if (to === boot) {
-            dividers[shard]?.take(boot, message);
+            allocators[shard]?.take(boot, message);
         }
         else {
             send(to, limitTopics.holding, message);
@@ -131,7 +137,7 @@
     }
 
     function reportToDivider(shard: number): void {
-        const at = times[shard];
+        const at = reportingByShard[shard];
         const to = pickDivider(shard, eligible()) ?? boot;
         if (at !== undefined) {
             at.sentAtMs = performance.now();
@@ -140,35 +146,35 @@
         report(shard, to);
     }
 
-    function gather(shard: number): void {
-        const at = times[shard];
+    function scheduleReport(shard: number): void {
+        const at = reportingByShard[shard];
         if (at !== undefined && ticker !== undefined) {
-            at.gathering ??= setTimeout(() => {
-                at.gathering = undefined;
+            at.reportTimer ??= setTimeout(() => {
+                at.reportTimer = undefined;
                 reportToDivider(shard);
-            }, gatherMs);
+            }, reportDelayMs);
         }
     }
 
-    function tickShard(shard: number, at: ShardTimes, boots: readonly string[]): void {
+    function tickShard(shard: number, at: ShardReporting, boots: readonly string[]): void {
         const now = performance.now();
         const isUrgent = holder.isUrgent(shard);
         at.urgentSinceMs = isUrgent ? at.urgentSinceMs ?? now : undefined;
-        const isMoved = at.sentTo !== (pickDivider(shard, boots) ?? boot);
-        if (isMoved || now - at.sentAtMs >= (isUrgent ? repeatMs : idleReportMs)) {
+        const hasNewAllocator = at.sentTo !== (pickDivider(shard, boots) ?? boot);
+        if (hasNewAllocator || now - at.sentAtMs >= (isUrgent ? urgentReportIntervalMs : idleReportIntervalMs)) {
             reportToDivider(shard);
         }
-        // The divider may be cut off from the platform, frozen, or gone without being noticed yet.
-        if (at.urgentSinceMs !== undefined && now - at.urgentSinceMs >= selfHelpMs && at.sentTo !== boot) {
+        // The allocator may be partitioned from the platform, frozen, or ended without anyone having noticed.
+        if (at.urgentSinceMs !== undefined && now - at.urgentSinceMs >= takeOverAfterMs && at.sentTo !== boot) {
             report(shard, boot);
         }
     }
 
     function tick(): void {
         ticks++;
-        holder.waitingTeams().forEach(callListeners);
+        holder.waitingTeams().forEach(notifyListeners);
         const boots = eligible();
-        times.forEach((at, shard) => tickShard(shard, at, boots));
+        reportingByShard.forEach((at, shard) => tickShard(shard, at, boots));
         if (ticks % ticksPerCheck === 0) {
             checkOwnShards();
         }
@@ -176,14 +182,14 @@
 
     function checkOwnShards(): void {
         const boots = eligible();
-        dividers.filter((_, shard) => pickDivider(shard, boots) === boot).forEach((divider) => divider.check());
+        allocators.filter((_, shard) => pickDivider(shard, boots) === boot).forEach((allocator) => allocator.check());
     }
 
-    function listen(): void {
+    function registerMessageHandlers(): void {
         peers.onMessage(limitTopics.holding, (from, body) => {
             const { data } = holdingSchema.safeParse(body);
             if (data !== undefined) {
-                dividers[data.shard]?.take(from.boot, data);
+                allocators[data.shard]?.take(from.boot, data);
             }
         });
         peers.onMessage(limitTopics.ask, (from, body) => {
@@ -207,15 +213,16 @@
         peers.onMessage(limitTopics.rooms, (_from, body) => {
             const { data } = roomsSchema.safeParse(body);
             if (data !== undefined) {
-                rooms.learn(data);
-                callListeners(data.team);
+                peerCapacity.learn(data);
+                notifyListeners(data.team);
             }
         });
     }
 
     return {
         tryTake(team, size, requestId) {
-            // A boot that the record has dropped may have lost its slices; it can only be here if that was wrong.
+            // A boot that was removed from the member record may have lost its slices. If this one was removed by
+            // mistake and still runs, it reserves nothing.
             const hold = members.isGone(boot) ? undefined : holder.tryTake(team, size);
             if (requestId !== undefined && hold === undefined) {
                 holder.noteDemand(team, size, requestId);
@@ -236,24 +243,25 @@
         isNeverPossible: (team, size) => !fitsWithin(toTaskUnits(size), ownLimitOf(team)),
         noteDemand: (team, size, requestId = "") => holder.noteDemand(team, size, requestId),
         hasRoom: (team, size) => fitsWithin(toTaskUnits(size), holder.roomOf(team)),
-        findPeerWithRoom: (team: string, size: TaskSize): Peer | undefined => rooms.find(team, size),
+        findPeerWithRoom: (team: string, size: TaskSize): Peer | undefined => peerCapacity.find(team, size),
         onRoom(listener) {
             listeners.add(listener);
             return () => listeners.delete(listener);
         },
         readDivisions: () => readDivisions(opts.platform, configuration.state(), members),
         start() {
-            listen();
-            // A new team has no room anywhere until its limit is divided, and none for long if the platform goes down now.
+            registerMessageHandlers();
+            // A new team has no capacity until its limit is divided. If the platform goes down before that, it has
+            // none for a long time.
             configuration.onChange(checkOwnShards);
             ticker = setInterval(tick, tickMs);
             tick();
         },
         async stop() {
             holder.leave();
-            const endAtMs = performance.now() + stopMs;
+            const endAtMs = performance.now() + maxStopMs;
             while (!holder.isEmpty() && performance.now() < endAtMs) {
-                times.forEach((_, shard) => {
+                reportingByShard.forEach((_, shard) => {
                     if (holder.hasPendingRelease(shard)) {
                         reportToDivider(shard);
                     }
@@ -262,9 +270,9 @@
             }
             clearInterval(ticker);
             ticker = undefined;
-            dividers.forEach((divider) => divider.stop());
+            allocators.forEach((allocator) => allocator.stop());
             timers.forEach((timer) => clearTimeout(timer));
-            times.forEach(({ gathering }) => clearTimeout(gathering));
+            reportingByShard.forEach(({ reportTimer: gathering }) => clearTimeout(gathering));
         },
     };
 }
--- a/src/limits/createSlices.ts
+++ b/src/limits/createSlices.ts
@@ -3,30 +3,33 @@
 import { isNoUnits, isSameUnits, maxUnits, minUnits, noUnits, type Units } from "./units";
 
 interface ShardSlices {
-    /** Ledger revision that the slices stand for. */
+    /** Ledger revision that `slices` was read at. */
     revision: number;
     slices: Readonly<Record<string, Units>>;
-    /** Releases that the ledger is not known to have taken in; each binds from the moment it was made. */
+    /**
+     * Releases merged into one that the ledger is not known to include yet. Each lowers the cap from the moment it
+     * is made.
+     */
     pending: Release | undefined;
-    /** Boots that may write the pending release, or an earlier one that it contains. */
+    /** Boots that may write the pending release, or an earlier one that it includes. */
     readonly sentTo: Set<string>;
-    nextNumber: number;
+    nextReleaseNumber: number;
 }
 
-/** What this boot may use of each team's limit. */
+/** Tracks how much of each team's limit this boot may use. */
 export interface Slices {
-    /** The slice that the ledger gives, lowered by all releases under way. */
+    /** Returns the slice in the ledger, lowered by all pending releases. */
     capOf(team: string): Units;
-    /** Lowers slices at once; the release has to reach the ledger some time. */
+    /** Lowers slices at once and adds a pending release, which has to reach the ledger eventually. */
     lower(shard: number, keeps: Readonly<Record<string, Units>>): void;
-    /** Takes in what the ledger said at some revision; gives the teams whose cap has grown. */
+    /** Applies the slices of a ledger revision unless it is old. Returns the teams whose cap has grown. */
     adopt(message: SlicesMessage): readonly string[];
-    /** The release that is to be sent, which contains the earlier ones. */
+    /** Returns the release to send, which includes all earlier pending ones. */
     pendingRelease(shard: number): Release | undefined;
     noteSent(shard: number, boot: string): void;
     /**
-     * Takes a release back once every boot that it was sent to has promised never to write it; gives true then.
-     * Without this, room that was given up while the platform went down would lie idle until it comes back.
+     * Withdraws the pending release once every boot that it was sent to has promised never to write it. Returns true
+     * then. Otherwise capacity released while the platform goes down would stay unused until the platform recovers.
      */
     noteVoid(shard: number, number: number, boot: string): boolean;
     revisionOf(shard: number): number;
@@ -34,8 +37,8 @@
 }
 
 /**
- * Keeps `cap <= slice in the ledger` whatever messages are lost, late or doubled: the ledger's slice falls only by
- * releases of this boot, each numbered, and a release counts against the cap until the ledger has its number.
+ * Invariant: `cap <= slice in the ledger`, even if messages are lost, late or duplicated. Only this boot's numbered
+ * releases lower its slice in the ledger, and a release lowers the cap until the ledger includes its number.
  */
 export function createSlices(): Slices {
     const shards = Array.from({ length: shardCount }, (): ShardSlices => ({
@@ -43,7 +46,7 @@
         slices: {},
         pending: undefined,
         sentTo: new Set(),
-        nextNumber: 1,
+        nextReleaseNumber: 1,
     }));
 
     function shardAt(shard: number): ShardSlices {
@@ -68,7 +71,7 @@
             for (const [team, units] of Object.entries(shard.pending?.keeps ?? {})) {
                 merged[team] = minUnits(units, merged[team] ?? units);
             }
-            shard.pending = { number: shard.nextNumber++, keeps: merged };
+            shard.pending = { number: shard.nextReleaseNumber++, keeps: merged };
         },
         adopt(message) {
             const shard = shardAt(message.shard);
@@ -83,7 +86,7 @@
                 shard.pending = undefined;
                 shard.sentTo.clear();
             }
-            return teams.filter((team) => isGrown(before.get(team) ?? noUnits, capOf(team)));
+            return teams.filter((team) => hasGrown(before.get(team) ?? noUnits, capOf(team)));
         },
         noteSent(shardNumber, boot) {
             const shard = shardAt(shardNumber);
@@ -98,8 +101,9 @@
             }
             shard.sentTo.delete(boot);
             if (shard.sentTo.size > 0) {
-                // Another boot may still write it, so it binds; its number is used up where it was dropped.
-                shard.pending = { ...shard.pending, number: shard.nextNumber++ };
+                // Another boot may still write the release, so it stays in effect. It gets a new number, because the
+                // boot that voided it refuses the old one.
+                shard.pending = { ...shard.pending, number: shard.nextReleaseNumber++ };
                 return false;
             }
             shard.pending = undefined;
@@ -112,6 +116,6 @@
     };
 }
 
-function isGrown(before: Units, after: Units): boolean {
+function hasGrown(before: Units, after: Units): boolean {
     return !isSameUnits(maxUnits(before, after), before);
 }
--- a/src/limits/fillDemands.ts
+++ b/src/limits/fillDemands.ts
@@ -1,37 +1,42 @@
 import { addUnits, fitsWithin, isNoUnits, minUnits, noUnits, subtractUnits, unitNames, type Units } from "./units";
 
-/** What one holder asks for out of the room that is to be divided. */
+/** What one holder needs from the capacity that is divided. */
 export interface Demand {
     readonly boot: string;
-    /** What it has already; those with less go first. */
+    /** What it has already. Holders with a smaller share are served first. */
     readonly held: Units;
     readonly wants: Units;
-    /** What makes one more task possible; room is given out in whole steps, so that no useless fragments arise. */
+    /**
+     * Amount that makes one more task possible. Capacity is granted in whole steps, which avoids unusable fragments.
+     */
     readonly firstStep: Units;
     readonly step: Units;
 }
 
-/** Most steps for one division; larger demands are given out in larger steps. */
+/** Bounds the work of one division. Larger demands are granted in larger steps. */
 const maxSteps = 2000;
 
-interface Filling {
+interface Allocation {
     readonly demand: Demand;
     given: Units;
     isDone: boolean;
 }
 
-/** Gives the room out step by step, always to the holder with the least so far; gives what each boot gets. */
-export function fillDemands(room: Units, whole: Units, demands: readonly Demand[]): ReadonlyMap<string, Units> {
-    const fillings = demands.map((demand): Filling => ({ demand, given: noUnits, isDone: false }));
+/**
+ * Divides `capacity` by dominant resource fairness: grants it step by step, always to the holder with the smallest
+ * dominant share of `limit`. Returns the amount granted to each boot.
+ */
+export function fillDemands(capacity: Units, limit: Units, demands: readonly Demand[]): ReadonlyMap<string, Units> {
+    const allocations = demands.map((demand): Allocation => ({ demand, given: noUnits, isDone: false }));
     const total = demands.reduce((sum, { wants }) => sum + wants.tasks, 0);
     const scale = Math.max(1, Math.ceil(total / maxSteps));
-    let left = room;
+    let left = capacity;
     for (;;) {
-        const next = findLeast(fillings, whole);
+        const next = findLeastAllocated(allocations, limit);
         if (next === undefined) {
             break;
         }
-        const taken = takeStep(next, left, scale) ?? takeStep(next, left, 1);
+        const taken = nextStep(next, left, scale) ?? nextStep(next, left, 1);
         if (taken === undefined) {
             next.isDone = true;
             continue;
@@ -39,10 +44,10 @@
         next.given = addUnits(next.given, taken);
         left = subtractUnits(left, taken);
     }
-    return new Map(fillings.map(({ demand, given }) => [demand.boot, given]));
+    return new Map(allocations.map(({ demand, given }) => [demand.boot, given]));
 }
 
-function takeStep({ demand, given }: Filling, left: Units, scale: number): Units | undefined {
+function nextStep({ demand, given }: Allocation, left: Units, scale: number): Units | undefined {
     const isFirst = isNoUnits(given);
     const step = isFirst ? demand.firstStep : multiply(demand.step, scale);
     const wanted = minUnits(step, subtractUnits(demand.wants, given));
@@ -57,20 +62,20 @@
     return product;
 }
 
-function findLeast(fillings: readonly Filling[], whole: Units): Filling | undefined {
-    let least: { filling: Filling; share: number; } | undefined;
-    for (const filling of fillings) {
-        if (!filling.isDone) {
-            const share = shareOf(addUnits(filling.demand.held, filling.given), whole);
+function findLeastAllocated(fillings: readonly Allocation[], limit: Units): Allocation | undefined {
+    let least: { allocation: Allocation; share: number; } | undefined;
+    for (const allocation of fillings) {
+        if (!allocation.isDone) {
+            const share = dominantShareOf(addUnits(allocation.demand.held, allocation.given), limit);
             if (least === undefined || share < least.share) {
-                least = { filling, share };
+                least = { allocation: allocation, share };
             }
         }
     }
-    return least?.filling;
+    return least?.allocation;
 }
 
-/** The largest part of the whole in any dimension. */
-function shareOf(units: Units, whole: Units): number {
-    return Math.max(...unitNames.map((name) => whole[name] === 0 ? 0 : units[name] / whole[name]));
+/** The dominant share: the largest part of the limit in any dimension. */
+function dominantShareOf(units: Units, limit: Units): number {
+    return Math.max(...unitNames.map((name) => limit[name] === 0 ? 0 : units[name] / limit[name]));
 }
--- a/src/limits/findShortage.ts
+++ b/src/limits/findShortage.ts
@@ -15,21 +15,21 @@
     type Units,
 } from "./units";
 
-/** What to ask the holders of a team for. */
+/** Capacity to request from the holders of a team's limit. */
 export interface Shortage {
     readonly team: string;
     readonly give: Units;
-    /** By boot; empty where idle room alone is asked for. */
+    /** Ceilings by boot. Empty if only idle capacity is requested. */
     readonly ceilings: ReadonlyMap<string, Units>;
-    /** False where only an even spread is asked for, which can wait. */
+    /** False if the request only evens out idle capacity, which can wait. */
     readonly isUrgent: boolean;
 }
 
-const askFactor = 1.25;
-/** An entry with less than this part of its fair division takes room that others use. */
-const leastPart = 0.5;
+const askMarginFactor = 1.25;
+/** An entry with less than this part of its fair division gets capacity that others use. */
+const minFairPart = 0.5;
 
-/** Finds the teams for which a holder waits, which hold more than their limit, or whose room is spread unevenly. */
+/** Finds teams with unmet demand, with slices above the limit, or with unevenly spread idle capacity. */
 export function findShortages(ledger: Ledger, input: LedgerInput): readonly Shortage[] {
     return Object.entries(ledger.teams).flatMap(([team, slices]) => findShortage(team, slices, input) ?? []);
 }
@@ -37,10 +37,10 @@
 function findShortage(team: string, { slices }: TeamSlices, input: LedgerInput): Shortage | undefined {
     const limit = limitOf(input.state, team);
     const held = sumUnits(Object.values(slices));
-    const lacks = input.eligible.map((boot) => lackOf(input.reports.get(boot)?.[team], slices[boot] ?? noUnits));
-    const lack = sumUnits(lacks);
+    const unmetDemands = input.eligible.map((boot) => lackOf(input.reports.get(boot)?.[team], slices[boot] ?? noUnits));
+    const totalUnmet = sumUnits(unmetDemands);
     const excess = clampUnits(subtractUnits(held, limit));
-    const give = maxUnits(clampUnits(subtractUnits(lack, clampUnits(subtractUnits(limit, held)))), excess);
+    const give = maxUnits(clampUnits(subtractUnits(totalUnmet, clampUnits(subtractUnits(limit, held)))), excess);
     if (!isNoUnits(give)) {
         return { team, give: addMargin(give), ceilings: findCeilings(team, slices, limit, input), isUrgent: true };
     }
@@ -48,7 +48,7 @@
     return isNoUnits(uneven) ? undefined : { team, give: uneven, ceilings: new Map(), isUrgent: false };
 }
 
-/** The fair division of the limit by demand, where the demand is above it. */
+/** Returns the fair part of the limit for each boot that holds more, if demand or slices exceed the limit. */
 function findCeilings(
     team: string,
     slices: TeamSlices["slices"],
@@ -56,21 +56,21 @@
     { reports, eligible }: LedgerInput,
 ): ReadonlyMap<string, Units> {
     const reachable = new Set(eligible);
-    const beyondReach = sumUnits(
+    const heldOutOfReach = sumUnits(
         Object.entries(slices).flatMap(([boot, units]) => reachable.has(boot) ? [] : [units]),
     );
-    const room = clampUnits(subtractUnits(limit, beyondReach));
+    const capacity = clampUnits(subtractUnits(limit, heldOutOfReach));
     const demands = eligible.flatMap((boot) => {
         const report = reports.get(boot)?.[team];
         return report === undefined ? [] : [{ boot, wants: addUnits(report.used, report.waiting), report }];
     });
-    const wanted = sumUnits(demands.map(({ wants }) => wants));
+    const totalDemand = sumUnits(demands.map(({ wants }) => wants));
     const heldInReach = sumUnits(eligible.map((boot) => slices[boot] ?? noUnits));
-    if (fitsWithin(wanted, room) && fitsWithin(heldInReach, room)) {
+    if (fitsWithin(totalDemand, capacity) && fitsWithin(heldInReach, capacity)) {
         return new Map();
     }
     const filled = fillDemands(
-        room,
+        capacity,
         limit,
         demands.filter(({ wants }) => !isNoUnits(wants)).map(({ boot, wants, report }) => ({
             boot,
@@ -81,10 +81,10 @@
         })),
     );
     const isUnfair = demands.some(({ boot }) =>
-        (slices[boot] ?? noUnits).tasks < (filled.get(boot) ?? noUnits).tasks * leastPart
+        (slices[boot] ?? noUnits).tasks < (filled.get(boot) ?? noUnits).tasks * minFairPart
     );
-    // Room in use serves its team wherever it is; each move of it would leave it idle for a while.
-    if (!isUnfair && fitsWithin(heldInReach, room)) {
+    // Capacity in use serves its team at any entry, and each move would leave it idle for a while.
+    if (!isUnfair && fitsWithin(heldInReach, capacity)) {
         return new Map();
     }
     return new Map(eligible.flatMap((boot) => {
@@ -99,10 +99,13 @@
     return isNoUnits(next) ? average : maxUnits(average, next);
 }
 
-/** A boot that joined has nothing yet and could serve nothing once it is cut off; gives what it lacks. */
+/**
+ * Returns the amount that the boot with the least idle capacity lacks to an even spread. A boot that has just joined
+ * has no capacity, so it could start no task if it were partitioned.
+ */
 function findUnevenness(team: string, limit: Units, slices: TeamSlices["slices"], input: LedgerInput): Units {
     const { reports, eligible } = input;
-    const usedAt = (boot: string) => {
+    const demandAt = (boot: string) => {
         const report = reports.get(boot)?.[team];
         return report === undefined ? 0 : report.used.tasks + report.waiting.tasks;
     };
@@ -110,14 +113,14 @@
         return noUnits;
     }
     const reachable = eligible.reduce((sum, boot) => sum + (slices[boot] ?? noUnits).tasks, 0);
-    const used = eligible.reduce((sum, boot) => sum + usedAt(boot), 0);
+    const used = eligible.reduce((sum, boot) => sum + demandAt(boot), 0);
     const level = Math.floor((reachable - used) / eligible.length);
-    const least = Math.min(level, ...eligible.map((boot) => (slices[boot] ?? noUnits).tasks - usedAt(boot)));
+    const least = Math.min(level, ...eligible.map((boot) => (slices[boot] ?? noUnits).tasks - demandAt(boot)));
     const missing = least * 2 < level ? level - Math.max(0, least) : 0;
     return missing === 0 ? noUnits : mapUnits((name) => Math.floor(limit[name] * missing / limit.tasks));
 }
 
-/** Some more than is lacking now, since more tasks come while room moves. */
+/** Requests more than is lacking now, because more tasks arrive while capacity moves. */
 function addMargin(give: Units): Units {
-    return mapUnits((name) => Math.ceil(give[name] * askFactor));
+    return mapUnits((name) => Math.ceil(give[name] * askMarginFactor));
 }
--- a/src/limits/ledger.ts
+++ b/src/limits/ledger.ts
@@ -1,26 +1,32 @@
 import { z } from "zod";
 import type { Units } from "./units";
 
-/** What the ledger keeps of one boot. */
+/** What the ledger stores about one boot. */
 export interface LedgerHolder {
-    /** Number of the boot's last release that was taken in; older ones are ignored. */
+    /** Number of the boot's latest release that the ledger includes. Older ones are ignored. */
     readonly releaseNumber: number;
-    /** Longest lease that the boot gives a task, in milliseconds. */
+    /** Longest lease that the boot grants to a task. */
     readonly leaseMs: number;
 }
 
 /** How one team's limit is divided. */
 export interface TeamSlices {
-    /** Configuration revision of the limit under which this was last written; an older one may not add to it. */
+    /**
+     * Configuration revision of the limit at the last write. A writer that knows only an older one must not add to the
+     * slices.
+     */
     readonly limitRevision: number;
     readonly isRemoved: boolean;
-    /** Slice of each boot. */
+    /** Slices by boot. */
     readonly slices: Readonly<Record<string, Units>>;
 }
 
-/** The division of the limits of one shard of teams. */
+/** How the limits of one shard of teams are divided. */
 export interface Ledger {
-    /** Newest configuration revision at which a team was dropped; an older one may not add anything. */
+    /**
+     * Newest configuration revision at which a team was dropped. A writer that knows only an older one must not add
+     * anything.
+     */
     readonly droppedRevision: number;
     readonly holders: Readonly<Record<string, LedgerHolder>>;
     readonly teams: Readonly<Record<string, TeamSlices>>;
@@ -28,24 +34,24 @@
 
 export const emptyLedger: Ledger = { droppedRevision: 0, holders: {}, teams: {} };
 
-const whole = z.number().int().nonnegative();
+const nonNegativeInt = z.number().int().nonnegative();
 
 const valueSchema = z.object({
     version: z.literal(1),
-    dropped: whole,
-    holders: z.array(z.object({ boot: z.string(), release: whole, leaseMs: whole })),
+    dropped: nonNegativeInt,
+    holders: z.array(z.object({ boot: z.string(), release: nonNegativeInt, leaseMs: nonNegativeInt })),
     teams: z.record(
         z.string(),
         z.object({
-            limit: whole,
+            limit: nonNegativeInt,
             removed: z.boolean().optional(),
-            /** Index of the holder, then tasks, thousandths of processors, memory in MB, accelerators. */
-            slices: z.array(z.tuple([whole, whole, whole, whole, whole])),
+            /** Index into `holders`, tasks, thousandths of processors, memory in MB, accelerators. */
+            slices: z.array(z.tuple([nonNegativeInt, nonNegativeInt, nonNegativeInt, nonNegativeInt, nonNegativeInt])),
         }),
     ),
 });
 
-/** Gives `undefined` where the value cannot be read; nothing may then be written over it. */
+/** Returns `undefined` if the value cannot be parsed. It must not be overwritten then. */
 export function parseLedger(text: string): Ledger | undefined {
     const parsed = valueSchema.safeParse(parseJson(text));
     if (!parsed.success) {
@@ -72,7 +78,7 @@
     };
 }
 
-/** Holders are named once and then counted, because a boot's name is longer than its slice. */
+/** Slices refer to holders by index, because a boot's name is longer than its slice. */
 export function formatLedger(ledger: Ledger): string {
     const boots = Object.keys(ledger.holders);
     const indexes = new Map(boots.map((boot, at) => [boot, at]));
--- a/src/limits/limits.ts
+++ b/src/limits/limits.ts
@@ -4,60 +4,67 @@
 import type { UpperLimit } from "../state";
 import type { TaskSize } from "../workers";
 
-/** Room for one task, taken out of this entry's slice of the team's limit. */
+/** Capacity for one task, reserved from this entry's slice of the team's limit. */
 export interface Hold {
     readonly id: number;
     readonly team: string;
     readonly size: TaskSize;
 }
 
-/** What one boot holds of a team's limit, as the ledger says. */
+/** The slice of a team's limit that the ledger records for one boot. A boot is one run of an entry's process. */
 export interface SliceHolder {
     readonly boot: string;
     readonly slice: UpperLimit;
-    /** False where the boot is no longer in the record of entries; its slice comes back after the longest lease. */
+    /** False if the boot is no longer in the member record. Its slice is reclaimed after its longest task lease. */
     readonly isRecorded: boolean;
 }
 
-/** How one team's limit is divided, for operators. */
+/** How one team's limit is divided over the boots. Shown to operators. */
 export interface TeamDivision {
     readonly team: string;
-    /** Absent where the team has been removed. */
+    /** Absent if the team has been removed. */
     readonly limit?: UpperLimit;
-    /** True where the slices, and with them everything that may run, are within the limit of this entry's revision. */
+    /**
+     * True if the sum of the slices, and so the sum of all tasks that may run, is within the limit of the revision
+     * that this entry knows.
+     */
     readonly isInForce: boolean;
     readonly held: UpperLimit;
     readonly holders: readonly SliceHolder[];
-    /** Boots that hold more than an even part of the limit while the sum is above it. */
+    /** Boots that hold more than an even part of the limit. Empty unless the sum of the slices exceeds the limit. */
     readonly holdTooMuch: readonly string[];
 }
 
 export interface Limits {
     /**
-     * Takes room for one task; `undefined` where this entry's slice has none left now.
-     * With the request's id the failure is also noted as demand, as by `noteDemand`.
+     * Reserves capacity for one task. Returns `undefined` if this entry's slice has too little left now.
+     * If `requestId` is given, a failure also records demand, as `recordDemand` does.
      */
     tryTake(team: string, size: TaskSize, requestId?: string): Hold | undefined;
-    /** Gives the room back once the task is provably over. */
+    /** Frees the held capacity. Called once the task has provably ended. */
     release(hold: Hold): void;
-    /** Gives the room back once a task whose end nobody saw must be over: the rest of its lease, in milliseconds. */
+    /** Frees the held capacity of a task whose end was not observed, after the rest of its lease (`delayMs`). */
     releaseAfter(hold: Hold, delayMs: number): void;
-    /** True where the team's whole limit could never hold one task of this size. */
+    /** True if a task of this size exceeds the team's whole limit. */
     isNeverPossible(team: string, size: TaskSize): boolean;
     /**
-     * Tells that a task waits for room, so that slices move here. The note lapses after a second; a request that
-     * still waits is noted again whenever `onRoom` calls. Without an id all notes of a team count as one task.
+     * Records that a task waits for capacity, so that other entries' unused capacity is moved here. The record expires
+     * after a second; a request that still waits is recorded again whenever `onCapacityAvailable` calls its listener.
+     * All records of a team without an id count as one task.
      */
     noteDemand(team: string, size: TaskSize, requestId?: string): void;
-    /** True where this entry's slice has room for one such task now; takes nothing. */
+    /** True if this entry's slice has capacity for one such task now. Reserves nothing. */
     hasRoom(team: string, size: TaskSize): boolean;
-    /** A connected entry that lately had room for such a task; the request may be forwarded to it. */
+    /** Returns a connected entry that recently had capacity for such a task. The request may be forwarded to it. */
     findPeerWithRoom(team: string, size: TaskSize): Peer | undefined;
-    /** Calls the listener when room has come, and now and then while demand is noted; returns what ends it. */
+    /**
+     * Calls the listener when capacity may be free, and periodically while demand is recorded. Returns the unsubscribe
+     * function.
+     */
     onRoom(listener: (team: string) => void): () => void;
-    /** Reads from the platform how every team's limit is divided. */
+    /** Reads the division of every team's limit from the platform. */
     readDivisions(): Promise<Either<PlatformFailure, readonly TeamDivision[]>>;
     start(): void;
-    /** Gives the slices up; called when nothing runs any more. */
+    /** Releases this entry's slices. Called when no task runs here any more. */
     stop(): Promise<void>;
 }
--- a/src/limits/messages.ts
+++ b/src/limits/messages.ts
@@ -1,16 +1,19 @@
 import { z } from "zod";
 
-/** Topics of the messages between entries. */
+/**
+ * Topics of the messages between entries. An allocator is the entry that writes a shard's ledger; a holder is a boot
+ * with slices. Every entry is a holder, and may be the allocator of some shards.
+ */
 export const limitTopics = {
-    /** A holder tells the divider what it uses, what waits, and what it gives up. */
+    /** A holder reports to the allocator what it uses, which demand waits, and what it releases. */
     holding: "limits/holding",
-    /** A divider asks holders for room. */
+    /** An allocator asks holders to release capacity. */
     ask: "limits/ask",
-    /** A divider tells a holder what the ledger says of it. */
+    /** An allocator sends a holder the slices that the ledger records for it. */
     slices: "limits/slices",
-    /** A divider that cannot write promises that it will never write a release. */
+    /** An allocator that cannot write the ledger promises that it will never write a given release. */
     void: "limits/void",
-    /** A divider names holders that have room while the ledger cannot be written. */
+    /** An allocator lists holders with free capacity while the ledger cannot be written. */
     rooms: "limits/rooms",
 } as const;
 
@@ -28,16 +31,19 @@
 
 const reportSchema = z.object({
     used: unitsSchema,
-    /** Sum of the tasks that wait for room in the limit. */
+    /** Sum of the sizes of the tasks that wait for capacity of the limit. */
     waiting: unitsSchema,
-    /** The largest of them in each dimension. */
+    /** The largest of these sizes, separately in each dimension. */
     next: unitsSchema,
-    /** What the holder may use now. */
+    /** Amount that the holder may use now. */
     held: unitsSchema,
 });
 export type TeamReport = z.infer<typeof reportSchema>;
 
-/** Slices are bound by `keeps` from the moment that the release is sent, whether or not it arrives. */
+/**
+ * Lowers the holder's slices to `keeps`. The holder stays within `keeps` from the moment that the release is sent,
+ * whether or not it arrives.
+ */
 const releaseSchema = z.object({
     number: z.number().int().positive(),
     keeps: z.record(name, unitsSchema),
@@ -46,7 +52,7 @@
 
 export const holdingSchema = z.object({
     shard,
-    /** Ledger revision that the holder knows. */
+    /** Latest ledger revision that the holder has applied. */
     revision: amount,
     leaseMs: amount,
     isLeaving: z.boolean(),
@@ -56,9 +62,9 @@
 export type HoldingMessage = z.infer<typeof holdingSchema>;
 
 const askSchema = z.object({
-    /** Room to give up from what is free. */
+    /** Amount to release from what is free. */
     give: unitsSchema,
-    /** What the holder shall come down to as its tasks end; absent where there is no need. */
+    /** Amount that the holder is to shrink to as its tasks end. Absent if it need not shrink. */
     ceiling: unitsSchema.optional(),
 });
 export type TeamAsk = z.infer<typeof askSchema>;
@@ -69,7 +75,7 @@
 export const slicesSchema = z.object({
     shard,
     revision: amount,
-    /** Number of the holder's last release that the ledger has taken in. */
+    /** Number of the holder's latest release that the ledger includes. */
     releaseNumber: amount,
     slices: z.record(name, unitsSchema),
 });
--- a/src/limits/planLedger.ts
+++ b/src/limits/planLedger.ts
@@ -18,30 +18,30 @@
     type Units,
 } from "./units";
 
-/** Room beyond its present demand that an entry is given before others get idle room, as a part of the demand. */
-const demandMargin = 0.5;
+/** Headroom that an entry gets before others get idle capacity, relative to its present demand. */
+const demandMarginFactor = 0.5;
 
 export interface LedgerInput {
     readonly shard: number;
     readonly state: FleetState;
-    /** What holders said lately, by boot and team. */
+    /** Recent reports of holders, by boot and team. */
     readonly reports: ReadonlyMap<string, Readonly<Record<string, TeamReport>>>;
     readonly releases: ReadonlyMap<string, Release>;
-    /** Lease of each boot's tasks, in milliseconds. */
+    /** Longest task lease of each boot. */
     readonly leasesMs: ReadonlyMap<string, number>;
-    /** Boots whose slices may grow, in the order of turns. */
+    /** Boots whose slices may grow, ordered so that the least recently served come first. */
     readonly eligible: readonly string[];
-    /** Boots that have provably ended and whose tasks have run out. */
+    /** Boots that have provably ended and whose task leases have expired. */
     readonly ended: ReadonlySet<string>;
 }
 
 /**
- * Works out the next value of a ledger: takes in releases, drops what ended boots held, and gives out what is free.
- * Gives the same ledger back where nothing changes. The sum over holders never grows past the limit.
+ * Computes the next value of a ledger: applies releases, removes the slices of reclaimable boots, and grants free
+ * capacity. Returns the same object if nothing changes. The sum of the slices never grows past the limit.
  */
 export function planLedger(ledger: Ledger, input: LedgerInput): Ledger {
     const released = applyReleases(dropEnded(ledger, input.ended), input);
-    // A writer that missed a removal would bring back a team that others have counted as over.
+    // A writer that has not seen a removal would recreate a team that other writers have already dropped.
     if (input.state.revision < released.droppedRevision) {
         return released;
     }
@@ -72,7 +72,7 @@
     return limit === undefined ? noUnits : toLimitUnits(limit);
 }
 
-/** What a holder lacks for the tasks that wait there. */
+/** Returns the amount that a holder lacks to run the tasks that wait there. */
 export function lackOf(report: TeamReport | undefined, slice: Units): Units {
     return report === undefined || isNoUnits(report.waiting)
         ? noUnits
@@ -121,7 +121,7 @@
     return Object.fromEntries(Object.entries(ledger.teams).map(([team, slices]) => [team, edit(slices, team)]));
 }
 
-/** Gives `undefined` where the team can be forgotten. */
+/** Returns `undefined` if the team can be dropped from the ledger. */
 function planTeam(name: string, before: TeamSlices | undefined, input: LedgerInput): TeamSlices | undefined {
     const team = input.state.teams[name];
     if (team === undefined) {
@@ -129,15 +129,15 @@
     }
     const limitRevision = team.limitRevision ?? 0;
     const current = before ?? { limitRevision, isRemoved: false, slices: {} };
-    // A writer with an older configuration may still know a higher limit; its growth would pass the lowered one.
+    // A writer with an older configuration may still know a higher limit, and would grow slices past the lowered one.
     if (input.state.revision < current.limitRevision) {
         return before;
     }
-    const stamped = limitRevision > current.limitRevision || current.isRemoved
+    const withRevision = limitRevision > current.limitRevision || current.isRemoved
         ? { limitRevision: Math.max(limitRevision, current.limitRevision), isRemoved: false, slices: current.slices }
         : current;
-    const slices = growSlices(name, stamped.slices, input);
-    return slices === stamped.slices ? stamped : { ...stamped, slices };
+    const slices = growSlices(name, withRevision.slices, input);
+    return slices === withRevision.slices ? withRevision : { ...withRevision, slices };
 }
 
 function isForgettable(before: TeamSlices, { state }: LedgerInput): boolean {
@@ -159,7 +159,7 @@
     const given = fillDemands(free, limit, input.eligible.flatMap((boot) => demandOf(boot, team, slices, input)));
     const served = addToSlices(slices, given);
     const spare = subtractUnits(free, sumUnits(given.values()));
-    return addToSlices(served, shareSpare(spare, input.eligible.map((boot) => takerOf(boot, team, served, input))));
+    return addToSlices(served, shareSpare(spare, input.eligible.map((boot) => recipientOf(boot, team, served, input))));
 }
 
 function demandOf(boot: string, team: string, slices: TeamSlices["slices"], { reports }: LedgerInput) {
@@ -173,12 +173,12 @@
     return [{ boot, held, wants, firstStep: isNoUnits(lacking) ? report.next : lacking, step: report.next }];
 }
 
-/** An entry that has much work is likely to get more; without a margin each of its next tasks would wait for a write. */
-function takerOf(boot: string, team: string, slices: TeamSlices["slices"], { reports }: LedgerInput) {
+/** A busy entry is likely to get more tasks. Without a margin each of its next tasks would wait for a ledger write. */
+function recipientOf(boot: string, team: string, slices: TeamSlices["slices"], { reports }: LedgerInput) {
     const report = reports.get(boot)?.[team];
     const demand = report === undefined ? 0 : report.used.tasks + report.waiting.tasks;
     const held = (slices[boot] ?? noUnits).tasks;
-    return { boot, idleTasks: held - Math.ceil(demand * (1 + demandMargin)) };
+    return { boot, idleTasks: held - Math.ceil(demand * (1 + demandMarginFactor)) };
 }
 
 function addToSlices(slices: TeamSlices["slices"], added: ReadonlyMap<string, Units>): TeamSlices["slices"] {
@@ -189,7 +189,10 @@
     };
 }
 
-/** Every boot with a slice has a record with its lease, so that whoever reclaims the slice knows how long to wait. */
+/**
+ * Adds a record with the task lease for every boot with a slice, so that any writer knows how long to wait before
+ * reclaiming it.
+ */
 function withHolders(ledger: Ledger, leasesMs: ReadonlyMap<string, number>): Ledger {
     const holders: Record<string, LedgerHolder> = { ...ledger.holders };
     for (const { slices } of Object.values(ledger.teams)) {
--- a/src/limits/readDivisions.ts
+++ b/src/limits/readDivisions.ts
@@ -8,14 +8,16 @@
 import { ledgerKey, shardCount } from "./shards";
 import { fitsWithin, mapUnits, sumUnits, unitNames, type Units } from "./units";
 
-/** Reads all ledgers, one read each, and judges them by the configuration that this entry knows. */
+/**
+ * Reads all ledgers, with one read each, and compares them to the limits of the configuration that this entry knows.
+ */
 export async function readDivisions(
     platform: Platform,
     state: FleetState | undefined,
     members: Members,
 ): Promise<Either<PlatformFailure, readonly TeamDivision[]>> {
     if (state === undefined) {
-        return Left({ kind: "unavailable", detail: "no configuration is known yet" });
+        return Left({ kind: "unavailable", detail: "no configuration has been loaded yet" });
     }
     const reads = await Promise.all(
         Array.from({ length: shardCount }, (_, shard) => platform.read(ledgerKey(shard))),
@@ -24,18 +26,21 @@
         const ledgers = values.map((stored) => stored === undefined ? emptyLedger : parseLedger(stored.text));
         const known = ledgers.flatMap((ledger) => ledger ?? []);
         return known.length < ledgers.length
-            ? Left<PlatformFailure>({ kind: "unavailable", detail: "a ledger is of another version" })
-            : Right(describeAll(known, state, members));
+            ? Left<PlatformFailure>({
+                kind: "unavailable",
+                detail: "a stored ledger is malformed or of another version",
+            })
+            : Right(describeDivisions(known, state, members));
     });
 }
 
-function describeAll(ledgers: readonly Ledger[], state: FleetState, members: Members): readonly TeamDivision[] {
+function describeDivisions(ledgers: readonly Ledger[], state: FleetState, members: Members): readonly TeamDivision[] {
     const written = Object.assign({}, ...ledgers.map(({ teams }) => teams)) as Record<string, TeamSlices>;
     const names = [...new Set([...Object.keys(state.teams), ...Object.keys(written)])].sort();
-    return names.map((team) => describe(team, written[team], state, members));
+    return names.map((team) => describeDivision(team, written[team], state, members));
 }
 
-function describe(
+function describeDivision(
     team: string,
     slices: TeamSlices | undefined,
     state: FleetState,
@@ -47,7 +52,8 @@
     const isWithin = fitsWithin(held, limit);
     const evenPart = mapUnits((name) => Math.ceil(limit[name] / Math.max(1, holders.length)));
     const known = state.teams[team];
-    // An older writer could still add under the old limit until the ledger carries the new limit's revision.
+    // Until the ledger has the new limit's revision, a writer with an older configuration can still add up to the old
+    // limit.
     const isWritten = slices === undefined || known === undefined
         || slices.limitRevision >= (known.limitRevision ?? 0) && !slices.isRemoved;
     return {
--- a/src/limits/shards.ts
+++ b/src/limits/shards.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 
-/** Number of ledger values; part of the meaning of the stored values, so never changed without a migration. */
+/** Number of ledgers. Stored ledgers depend on it, so a change needs a migration. */
 export const shardCount = 8;
 
 export function ledgerKey(shard: number): string {
@@ -11,7 +11,7 @@
     return hash(team) % shardCount;
 }
 
-/** Rendezvous hashing: the boot that writes a shard, among those that the caller sees. */
+/** Chooses the boot that writes a shard's ledger, by rendezvous hashing over the boots that the caller sees. */
 export function pickDivider(shard: number, boots: readonly string[]): string | undefined {
     let best: { boot: string; score: number; } | undefined;
     for (const boot of boots) {
--- a/src/limits/test/limits.steps.ts
+++ b/src/limits/test/limits.steps.ts
@@ -15,11 +15,11 @@
 
 const team = "stables";
 const large = { processors: 1000, memoryMb: 1_000_000, accelerators: 100 };
-/** Longer than the margin that is waited for besides the lease. */
+/** Longer than the margin that is added to the lease before a slice is reclaimed. */
 const longLeaseMs = 20_000;
 const defects: Readonly<Record<string, LimitsDefect>> = {
-    "silence counts as an end": "silentCountsAsGone",
-    "the lease is not waited for": "leaseTooShort",
+    "silent entries count as ended": "silentCountsAsGone",
+    "slices are reclaimed before the lease expires": "leaseTooShort",
 };
 
 setDefaultTimeout(120_000);
@@ -29,7 +29,12 @@
     this.limits = undefined;
 });
 
-async function begin(world: World, count: number, limit: { tasks: number; processors?: number; }, defect?: string) {
+async function startWorld(
+    world: World,
+    count: number,
+    limit: { tasks: number; processors?: number; },
+    defect?: string,
+) {
     const limits = createLimitsWorld(defect === undefined ? {} : { defect: defects[defect]!, leaseMs: longLeaseMs });
     world.limits = limits;
     world.tasks = [];
@@ -63,7 +68,7 @@
         .filter(({ order }) => order.holder === entry.peer.boot).length;
 }
 
-async function inForce(world: World, entry: WorldEntry): Promise<boolean> {
+async function reportsInForce(world: World, entry: WorldEntry): Promise<boolean> {
     const limits = worldOf(world);
     const reading = entry.limits.readDivisions();
     await limits.clock.tickAsync(50);
@@ -78,14 +83,14 @@
     /^(\d+) (?:entry|entries) and a limit of (\d+) tasks?(?: and ([\d.]+) processors)?$/,
     function(this: World, count: string, tasks: string, processors: string | undefined) {
         const limit = { tasks: Number(tasks), ...processors ? { processors: Number(processors) } : {} };
-        return begin(this, Number(count), limit);
+        return startWorld(this, Number(count), limit);
     },
 );
 
 Given(
     /^(\d+) entries and a limit of (\d+) tasks, where (.*)$/,
     function(this: World, count: string, tasks: string, defect: string) {
-        return begin(this, Number(count), { tasks: Number(tasks) }, defect);
+        return startWorld(this, Number(count), { tasks: Number(tasks) }, defect);
     },
 );
 
@@ -137,7 +142,7 @@
     worldOf(this).freeze(entryOf(this, number));
 });
 
-When("entry {int} wakes", function(this: World, number: number) {
+When("entry {int} resumes", function(this: World, number: number) {
     worldOf(this).wake(entryOf(this, number));
 });
 
@@ -149,11 +154,11 @@
     worldOf(this).cutLinks(entryOf(this, number).peer.zone);
 });
 
-When("entry {int} is cut from the others but not from the platform", function(this: World, number: number) {
+When("entry {int} is cut off from the others but not from the platform", function(this: World, number: number) {
     worldOf(this).cutLinks(entryOf(this, number).peer.zone);
 });
 
-When("the zone is connected again", function(this: World) {
+When("the zone is reconnected", function(this: World) {
     worldOf(this).healZones();
 });
 
@@ -161,11 +166,11 @@
     worldOf(this).platform.isDown = true;
 });
 
-When("the platform comes back", function(this: World) {
+When("the platform recovers", function(this: World) {
     worldOf(this).platform.isDown = false;
 });
 
-When("the next {int} write answers are lost", function(this: World, count: number) {
+When("the next {int} write responses are lost", function(this: World, count: number) {
     worldOf(this).platform.lostWriteAnswers = count;
 });
 
@@ -173,11 +178,11 @@
     worldOf(this).platform.lostWrites = count;
 });
 
-When("the next {int} writes are late", function(this: World, count: number) {
+When("the next {int} writes are delayed", function(this: World, count: number) {
     worldOf(this).platform.lateWrites = count;
 });
 
-When("the platform goes down when entry {int} has given room up", async function(this: World, number: number) {
+When("the platform goes down when entry {int} has released capacity", async function(this: World, number: number) {
     const { platform, clock } = worldOf(this);
     const size = { processors: 1, memoryMb: 1, accelerators: 0 };
     while (entryOf(this, number).limits.hasRoom(team, size)) {
@@ -186,7 +191,7 @@
     platform.isDown = true;
 });
 
-When("the entry that writes is cut from the platform", function(this: World) {
+When("the allocator is cut off from the platform", function(this: World) {
     worldOf(this).platform.cutOff.add(worldOf(this).lastWriter());
 });
 
@@ -195,7 +200,7 @@
     entries.filter(({ peer }) => peer.boot !== lastWriter()).forEach((entry) => submit(this, entry, count, runMs));
 });
 
-When("the limit is lowered to {int} tasks", function(this: World, tasks: number) {
+When("the limit is changed to {int} tasks", function(this: World, tasks: number) {
     worldOf(this).setTeam(team, { ...large, tasks });
 });
 
@@ -211,11 +216,11 @@
     worldOf(this).removeTeam(team);
 });
 
-When("all callers give up", function(this: World) {
+When("all callers cancel", function(this: World) {
     worldOf(this).entries.forEach((entry) => entry.cancelAll());
 });
 
-When("entry {int} is stopped in an orderly way", async function(this: World, number: number) {
+When("entry {int} is shut down gracefully", async function(this: World, number: number) {
     const stopped = worldOf(this).stop(entryOf(this, number));
     await worldOf(this).clock.tickAsync(3000);
     await stopped;
@@ -249,48 +254,48 @@
     assert.equal(new Set(started).size, worldOf(this).entries.length);
 });
 
-Then("the limit was never passed", function(this: World) {
+Then("the limit was never exceeded", function(this: World) {
     assert.deepEqual(worldOf(this).judge.broken, []);
 });
 
-Then("the limit was passed", function(this: World) {
+Then("the limit was exceeded", function(this: World) {
     assert.notDeepEqual(worldOf(this).judge.broken, []);
 });
 
-Then("entry {int} knows no peer with room", function(this: World, number: number) {
+Then("entry {int} knows no peer with free capacity", function(this: World, number: number) {
     const peer = entryOf(this, number).limits.findPeerWithRoom(team, { processors: 1, memoryMb: 1, accelerators: 0 });
     assert.equal(peer, undefined);
 });
 
-Then("entry {int} knows a peer with room", function(this: World, number: number) {
+Then("entry {int} knows a peer with free capacity", function(this: World, number: number) {
     const peer = entryOf(this, number).limits.findPeerWithRoom(team, { processors: 1, memoryMb: 1, accelerators: 0 });
     assert.ok(peer);
 });
 
-Then("no entry says that the limit is in force", async function(this: World) {
+Then("no entry reports the limit as in force", async function(this: World) {
     for (const entry of worldOf(this).living()) {
-        assert.equal(await inForce(this, entry), false);
+        assert.equal(await reportsInForce(this, entry), false);
     }
 });
 
-Then("every entry says that the limit is in force", async function(this: World) {
+Then("every entry reports the limit as in force", async function(this: World) {
     for (const entry of worldOf(this).living()) {
-        assert.equal(await inForce(this, entry), true);
+        assert.equal(await reportsInForce(this, entry), true);
     }
 });
 
-Then("entry {int} says that the limit is in force", async function(this: World, number: number) {
-    assert.equal(await inForce(this, entryOf(this, number)), true);
+Then("entry {int} reports the limit as in force", async function(this: World, number: number) {
+    assert.equal(await reportsInForce(this, entryOf(this, number)), true);
 });
 
-Then("entry {int} says who holds too much", async function(this: World, number: number) {
+Then("entry {int} lists boots that hold too much", async function(this: World, number: number) {
     const reading = entryOf(this, number).limits.readDivisions();
     await worldOf(this).clock.tickAsync(50);
     const [division] = (await reading).orDefault([]);
     assert.notDeepEqual(division?.holdTooMuch, []);
 });
 
-Then("the ledger holds nothing", function(this: World) {
+Then("the ledger contains no team", function(this: World) {
     const texts = [...worldOf(this).platform.values.values()].map(({ text }) => text);
     texts.forEach((text) => assert.deepEqual(JSON.parse(text).teams, {}));
 });
--- a/src/limits/units.ts
+++ b/src/limits/units.ts
@@ -2,8 +2,8 @@
 import type { TaskSize } from "../workers";
 
 /**
- * Amounts of a limit, as whole numbers so that sums are exact in any order.
- * Processors are counted in thousandths; a task is rounded up, a limit is rounded down.
+ * Resource amounts as integers, so that sums are exact in any order.
+ * Processors are counted in thousandths. A task's size is rounded up, a limit is rounded down.
  */
 export interface Units {
     readonly tasks: number;
@@ -17,8 +17,8 @@
 
 export const noUnits: Units = { tasks: 0, milliProcessors: 0, memoryMb: 0, accelerators: 0 };
 
-/** Takes up the error of a product such as 0.29 * 1000, which is far below one thousandth of a processor. */
-const roundingSlack = 1e-6;
+/** Absorbs the floating-point error of products such as 0.29 * 1000. It is far below one thousandth of a processor. */
+const roundingTolerance = 1e-6;
 
 export function mapUnits(pick: (name: UnitName) => number): Units {
     return {
@@ -32,7 +32,7 @@
 export function toTaskUnits(size: TaskSize): Units {
     return {
         tasks: 1,
-        milliProcessors: Math.ceil(size.processors * 1000 - roundingSlack),
+        milliProcessors: Math.ceil(size.processors * 1000 - roundingTolerance),
         memoryMb: Math.ceil(size.memoryMb),
         accelerators: Math.ceil(size.accelerators),
     };
@@ -41,7 +41,7 @@
 export function toLimitUnits(limit: UpperLimit): Units {
     return {
         tasks: Math.floor(limit.tasks),
-        milliProcessors: Math.floor(limit.processors * 1000 + roundingSlack),
+        milliProcessors: Math.floor(limit.processors * 1000 + roundingTolerance),
         memoryMb: Math.floor(limit.memoryMb),
         accelerators: Math.floor(limit.accelerators),
     };
@@ -51,7 +51,7 @@
     return mapUnits((name) => a[name] + b[name]);
 }
 
-/** The difference, which may be negative. */
+/** Amounts of the result may be negative. */
 export function subtractUnits(a: Units, b: Units): Units {
     return mapUnits((name) => a[name] - b[name]);
 }
@@ -64,7 +64,7 @@
     return mapUnits((name) => Math.max(a[name], b[name]));
 }
 
-/** Negative amounts become 0. */
+/** Replaces negative amounts by 0. */
 export function clampUnits(a: Units): Units {
     return maxUnits(a, noUnits);
 }
@@ -77,8 +77,8 @@
     return sum;
 }
 
-export function fitsWithin(a: Units, room: Units): boolean {
-    return unitNames.every((name) => a[name] <= room[name]);
+export function fitsWithin(a: Units, capacity: Units): boolean {
+    return unitNames.every((name) => a[name] <= capacity[name]);
 }
 
 export function isNoUnits(a: Units): boolean {
--- a/src/shares/amounts.ts
+++ b/src/shares/amounts.ts
@@ -1,7 +1,7 @@
 import type { TaskSize } from "../workers";
 import type { ShareAmounts } from "./shares";
 
-/** Amounts that are counted up and down. */
+/** Running totals of amounts. */
 export type MutableAmounts = { -readonly [K in keyof ShareAmounts]: ShareAmounts[K]; };
 
 export function createAmounts(): MutableAmounts {
@@ -22,16 +22,16 @@
     to.accelerators += sign * size.accelerators;
 }
 
-/** The largest of the parts that the amounts take of each resource (dominant share). */
+/** Returns the largest fraction that the amounts take of any resource. */
 export function dominantShare(amounts: ShareAmounts, capacity: ShareAmounts): number {
     return Math.max(
-        part(amounts.tasks, capacity.tasks),
-        part(amounts.processors, capacity.processors),
-        part(amounts.memoryMb, capacity.memoryMb),
-        part(amounts.accelerators, capacity.accelerators),
+        fractionOf(amounts.tasks, capacity.tasks),
+        fractionOf(amounts.processors, capacity.processors),
+        fractionOf(amounts.memoryMb, capacity.memoryMb),
+        fractionOf(amounts.accelerators, capacity.accelerators),
     );
 }
 
-function part(amount: number, whole: number): number {
+function fractionOf(amount: number, whole: number): number {
     return whole > 0 ? amount / whole : 0;
 }
--- a/src/shares/createReports.ts
+++ b/src/shares/createReports.ts
@@ -5,55 +5,54 @@
 export interface ReportsOptions {
     readonly peers: Peers;
     readonly table: ShareTable;
-    /** How often changes are told, in milliseconds. */
+    /** Interval of reports. */
     readonly reportMs: number;
-    /** Rows of this entry in the given pools; a team that has left gives a row of zeros once. */
+    /** Returns this entry's rows of the pool. A team whose last task has ended has a row of zeros once. */
     ownRows(pool: string): readonly ReportRow[];
-    /** Pools of this entry that others need to know about now. */
+    /** Returns the pools that other entries need reports of now. */
     reportedPools(): readonly string[];
-    /** Called when the pool's changes have been told. */
+    /** Called when the pool's changes have been reported. */
     onTold(pool: string): void;
     onPeerChange(pool: string): void;
 }
 
 export interface Reports {
-    /** Tells the pool's changes soon, because waiting others depend on them. */
+    /** Reports the pool's changes before the next interval, because other entries' waiting tasks depend on them. */
     hurry(pool: string): void;
     start(): void;
     stop(): void;
 }
 
-/** Least time between two reports, in milliseconds. */
-const hurryMs = 50;
-const wholeTimeoutMs = 1000;
+const minReportGapMs = 50;
+const fullReportTimeoutMs = 1000;
 
 /**
- * Tells connected entries what changed here, and keeps what they told.
+ * Reports this entry's changes to connected entries, and stores their reports in the table.
  *
- * A report that is lost leaves a wrong row behind, which shows as shares that stay off while the fleet is full. Each
- * report is numbered, so the receiver notices the gap and asks for a whole one. Rows of an entry that is no longer
- * connected are forgotten, so that a zone that is cut off divides what it can reach.
+ * A lost report would leave a wrong row, and shares would stay wrong while the fleet is full. Reports are numbered, so
+ * the receiver detects a gap and requests a full report. Rows of disconnected entries are removed, so that a
+ * partitioned availability zone divides only the capacity that it can reach.
  */
 export function createReports(opts: ReportsOptions): Reports {
     const { peers, table } = opts;
-    const sent = new Map<string, Map<string, string>>();
-    const heard = new Map<string, number>();
-    const hurried = new Set<string>();
-    let known = new Set<string>();
+    const sentDigestsByPool = new Map<string, Map<string, string>>();
+    const lastSequenceByBoot = new Map<string, number>();
+    const poolsToSendSoon = new Set<string>();
+    let knownBoots = new Set<string>();
     let sequence = 0;
     let timer: NodeJS.Timeout | undefined;
-    let soon: NodeJS.Timeout | undefined;
+    let soonTimer: NodeJS.Timeout | undefined;
     let sentAtMs = 0;
 
     function collectChanges(chosen: readonly string[]): Report["pools"] {
         const pools: Record<string, ReportRow[]> = {};
         for (const pool of chosen) {
-            const told = sent.get(pool) ?? new Map<string, string>();
-            sent.set(pool, told);
+            const sentDigests = sentDigestsByPool.get(pool) ?? new Map<string, string>();
+            sentDigestsByPool.set(pool, sentDigests);
             const changed = opts.ownRows(pool).filter((row) => {
                 const digest = row.slice(1, 10).join();
-                const isNew = digest !== (told.get(row[0]) ?? "0,0,0,0,0,0,0,0,0");
-                told.set(row[0], digest);
+                const isNew = digest !== (sentDigests.get(row[0]) ?? "0,0,0,0,0,0,0,0,0");
+                sentDigests.set(row[0], digest);
                 return isNew;
             });
             if (changed.length > 0) {
@@ -72,15 +71,15 @@
         return { sequence, isWhole: true, pools };
     }
 
-    function tellSoon(): void {
-        soon = undefined;
+    function sendRequestedChanges(): void {
+        soonTimer = undefined;
         sentAtMs = Date.now();
-        const chosen = opts.reportedPools().filter((pool) => hurried.has(pool));
-        hurried.clear();
-        tell(chosen);
+        const chosen = opts.reportedPools().filter((pool) => poolsToSendSoon.has(pool));
+        poolsToSendSoon.clear();
+        sendChanges(chosen);
     }
 
-    function tell(chosen: readonly string[]): void {
+    function sendChanges(chosen: readonly string[]): void {
         const pools = collectChanges(chosen);
         if (Object.keys(pools).length > 0) {
             sequence++;
@@ -89,30 +88,30 @@
     }
 
     function tick(): void {
-        const now = new Set(peers.connected().map(({ boot }) => boot));
+        const connectedBoots = new Set(peers.connected().map(({ boot }) => boot));
         for (const boot of table.boots()) {
-            if (!now.has(boot)) {
+            if (!connectedBoots.has(boot)) {
                 table.forget(boot);
-                heard.delete(boot);
+                lastSequenceByBoot.delete(boot);
             }
         }
-        for (const boot of now) {
-            if (!known.has(boot)) {
+        for (const boot of connectedBoots) {
+            if (!knownBoots.has(boot)) {
                 peers.send(boot, reportTopic, collectAll());
             }
         }
-        known = now;
-        tell(opts.reportedPools());
+        knownBoots = connectedBoots;
+        sendChanges(opts.reportedPools());
     }
 
-    function take(boot: string, report: Report): void {
-        const last = heard.get(boot);
-        heard.set(boot, report.sequence);
+    function applyReport(boot: string, report: Report): void {
+        const last = lastSequenceByBoot.get(boot);
+        lastSequenceByBoot.set(boot, report.sequence);
         if (report.isWhole) {
             table.forget(boot);
         }
         else if (last !== undefined && report.sequence !== last + 1) {
-            void askWhole(boot);
+            void requestFullReport(boot);
         }
         const nowMs = Date.now();
         for (const [pool, rows] of Object.entries(report.pools)) {
@@ -121,12 +120,12 @@
         }
     }
 
-    async function askWhole(boot: string): Promise<void> {
-        const answer = await peers.request(boot, wholeTopic, {}, wholeTimeoutMs);
+    async function requestFullReport(boot: string): Promise<void> {
+        const answer = await peers.request(boot, wholeTopic, {}, fullReportTimeoutMs);
         answer.ifRight((body) => {
             const parsed = reportSchema.safeParse(body);
             if (parsed.success) {
-                take(boot, parsed.data);
+                applyReport(boot, parsed.data);
             }
         });
     }
@@ -134,22 +133,22 @@
     peers.onMessage(reportTopic, (from, body) => {
         const parsed = reportSchema.safeParse(body);
         if (parsed.success) {
-            take(from.boot, parsed.data);
+            applyReport(from.boot, parsed.data);
         }
     });
     peers.onRequest(wholeTopic, () => Promise.resolve(collectAll()));
 
     return {
         hurry(pool) {
-            hurried.add(pool);
-            soon ??= setTimeout(tellSoon, Math.max(1, sentAtMs + hurryMs - Date.now()));
+            poolsToSendSoon.add(pool);
+            soonTimer ??= setTimeout(sendRequestedChanges, Math.max(1, sentAtMs + minReportGapMs - Date.now()));
         },
         start() {
             timer = setInterval(tick, opts.reportMs);
         },
         stop() {
             clearInterval(timer);
-            clearTimeout(soon);
+            clearTimeout(soonTimer);
         },
     };
 }
--- a/src/shares/createShareTable.ts
+++ b/src/shares/createShareTable.ts
@@ -1,7 +1,7 @@
 import { addAmounts, createAmounts, type MutableAmounts } from "./amounts";
 import type { ReportRow } from "./messages";
 
-/** What one entry runs and has waiting for one team in one pool. */
+/** Running and waiting tasks of one team in one pool at one entry. */
 export interface ShareRow {
     readonly running: MutableAmounts;
     readonly waiting: MutableAmounts;
@@ -11,18 +11,18 @@
 
 type Rows = Map<string, Map<string, ShareRow>>;
 
-/** Rows of other entries, and their sum, kept up to date with each report. */
+/** Rows that other entries have reported, with their sum per pool and team. */
 export interface ShareTable {
-    /** The sum over all other entries; `undefined` where they have nothing. */
+    /** Returns the sums over all other entries by team. `undefined` if none of them has reported the pool. */
     totals(pool: string): ReadonlyMap<string, ShareRow> | undefined;
     set(boot: string, pool: string, row: ReportRow, nowMs: number): void;
-    /** Counts one more running and one less waiting until the entry's next report. */
+    /** Counts one waiting task as running until the entry's next report. */
     moveOne(boot: string, pool: string, team: string): void;
     forget(boot: string): void;
     boots(): readonly string[];
-    /** The entry at which the team has waited longest. */
+    /** Returns the entry at which the team has waited longest. */
     findLongestWaiting(pool: string, team: string): { readonly boot: string; readonly row: ShareRow; } | undefined;
-    /** Each entry's rows of the pool, by team. */
+    /** Returns each entry's rows of the pool, by team. */
     rowsByBoot(pool: string): readonly (readonly [string, ReadonlyMap<string, ShareRow>])[];
     waitingPools(): readonly string[];
 }
--- a/src/shares/createShares.ts
+++ b/src/shares/createShares.ts
@@ -16,45 +16,48 @@
     readonly configuration: Pick<Configuration, "state" | "onChange">;
     readonly peers: Peers;
     readonly pools: PoolIndex;
-    /** How often changes are told to other entries, in milliseconds. */
+    /** Interval of reports to other entries. */
     readonly reportMs: number;
-    /** From 0 up to 1; tests give a seeded one. */
+    /** Returns a number from 0 up to 1. Tests pass a seeded one. */
     readonly random?: () => number;
 }
 
 interface OwnRow {
     readonly running: MutableAmounts;
-    readonly urgentRight: UrgentRight;
+    readonly urgentAllowance: UrgentRight;
     waiting?: WaitingWork | undefined;
 }
 
-/** A team's share, by dominant resource. */
+/** A team's share and demand, by dominant resource. */
 interface Share {
     readonly amount: number;
     readonly demand: number;
-    readonly isLight: boolean;
+    readonly isSatisfied: boolean;
 }
 
-/** A team below its share that has waited this long at another entry is offered a slot, in milliseconds. */
-const lateMs = 300;
-const lightMargin = 1e-6;
-/** Part of the last error that is corrected, and part of the correction that is kept, at each report. */
+/** A team below its share that has waited this long at another entry may be offered a slot. */
+const offerAfterMs = 300;
+const satisfiedTolerance = 1e-6;
+/**
+ * At each report, this part of the current error is added to the correction, and this part of the old correction is
+ * kept.
+ */
 const biasGain = 0.15;
-const biasKept = 0.9;
-/** How long shares that were worked out stay good enough, in milliseconds. */
-const sharesAgeMs = 100;
-const noAmounts = createAmounts();
-const noShare: Share = { amount: 0, demand: 0, isLight: true };
+const biasRetention = 0.9;
+/** Computed shares are reused for this long. */
+const maxSharesAgeMs = 100;
+const zeroAmounts = createAmounts();
+const zeroShare: Share = { amount: 0, demand: 0, isSatisfied: true };
 
-/** Divides each pool by weighted max-min over all entries' reports and this entry's own counts. */
+/** Divides each pool by weighted max-min fairness, from the other entries' reports and this entry's own counts. */
 export function createShares(opts: SharesOptions): Shares {
     const own = new Map<string, Map<string, OwnRow>>();
     const table = createShareTable();
     const listeners = new Set<(pool: string) => void>();
-    const cached = new Map<string, { readonly atMs: number; readonly shares: ReadonlyMap<string, Share>; }>();
+    const cachedShares = new Map<string, { readonly atMs: number; readonly shares: ReadonlyMap<string, Share>; }>();
     const random = opts.random ?? Math.random;
-    /** Pools in which other entries think that something waits here. */
-    const wasTold = new Set<string>();
+    /** Pools in which this entry's last report showed waiting tasks. */
+    const poolsReportedWaiting = new Set<string>();
     const contended = new Set<string>();
     const biases = new Map<string, Map<string, number>>();
     let timer: NodeJS.Timeout | undefined;
@@ -63,7 +66,7 @@
         table,
         reportMs: opts.reportMs,
         ownRows,
-        reportedPools: () => [...own.keys()].filter((pool) => isContended(pool) || wasTold.has(pool)),
+        reportedPools: () => [...own.keys()].filter((pool) => isContended(pool) || poolsReportedWaiting.has(pool)),
         onTold,
         onPeerChange,
     });
@@ -71,7 +74,7 @@
     function ownRow(pool: string, team: string): OwnRow {
         const teams = own.get(pool) ?? new Map<string, OwnRow>();
         own.set(pool, teams);
-        const row = teams.get(team) ?? { running: createAmounts(), urgentRight: createUrgentRight() };
+        const row = teams.get(team) ?? { running: createAmounts(), urgentAllowance: createUrgentRight() };
         teams.set(team, row);
         return row;
     }
@@ -81,7 +84,7 @@
         const teams = own.get(pool) ?? new Map<string, OwnRow>();
         const rows = [...teams].map(([team, row]): ReportRow => {
             const { running, waiting } = row;
-            const w = waiting?.amounts ?? noAmounts;
+            const w = waiting?.amounts ?? zeroAmounts;
             const ageMs = waiting === undefined ? 0 : Math.max(0, nowMs - waiting.oldestAtMs);
             const { tasks, processors, memoryMb, accelerators } = running;
             const run = [tasks, processors, memoryMb, accelerators] as const;
@@ -91,19 +94,19 @@
         return rows;
     }
 
-    /** Urgent tasks that may go ahead of their team's turn. */
-    function urgentTasksOf({ waiting, urgentRight }: OwnRow): number {
+    /** Returns the number of urgent tasks that may start ahead of their team's turn. */
+    function urgentTasksOf({ waiting, urgentAllowance: urgentRight }: OwnRow): number {
         const tasks = waiting?.urgentTasks ?? 0;
         return tasks > 0 && urgentRight.isGiven() ? tasks : 0;
     }
 
-    /** Forgets teams whose row of zeros has been told. */
+    /** Removes teams whose row of zeros has been reported. */
     function onTold(pool: string): void {
         const teams = own.get(pool) ?? new Map<string, OwnRow>();
-        wasTold.delete(pool);
+        poolsReportedWaiting.delete(pool);
         for (const [team, { running, waiting }] of teams) {
             if (waiting !== undefined) {
-                wasTold.add(pool);
+                poolsReportedWaiting.add(pool);
             }
             else if (running.tasks === 0) {
                 teams.delete(team);
@@ -120,13 +123,16 @@
     }
 
     function onPeerChange(pool: string): void {
-        cached.delete(pool);
-        noteContention(pool);
+        cachedShares.delete(pool);
+        updateContention(pool);
         listeners.forEach((listener) => listener(pool));
     }
 
-    /** Where something begins to wait in a pool, all who run there tell what they run, which they had kept back. */
-    function noteContention(pool: string): void {
+    /**
+     * Once tasks start to wait in a pool, every entry reports what it runs there. It does not report that of
+     * uncontended pools.
+     */
+    function updateContention(pool: string): void {
         if (!isContended(pool)) {
             contended.delete(pool);
         }
@@ -140,61 +146,61 @@
         return opts.configuration.state()?.teams[team]?.weight ?? 1;
     }
 
-    function useOf(pool: string, team: string): number {
-        const capacity = opts.pools.find(pool)?.capacity ?? noAmounts;
+    function usageOf(pool: string, team: string): number {
+        const capacity = opts.pools.find(pool)?.capacity ?? zeroAmounts;
         const sum = createAmounts();
-        addAmounts(sum, own.get(pool)?.get(team)?.running ?? noAmounts, 1);
-        addAmounts(sum, table.totals(pool)?.get(team)?.running ?? noAmounts, 1);
+        addAmounts(sum, own.get(pool)?.get(team)?.running ?? zeroAmounts, 1);
+        addAmounts(sum, table.totals(pool)?.get(team)?.running ?? zeroAmounts, 1);
         return dominantShare(sum, capacity);
     }
 
-    /** Every team that runs or waits in the pool, with what it uses and wants in the whole fleet. */
-    function listUse(pool: string): readonly TeamUse[] {
-        const capacity = opts.pools.find(pool)?.capacity ?? noAmounts;
+    /** Returns the usage and demand in the whole fleet of every team with running or waiting tasks in the pool. */
+    function listUsage(pool: string): readonly TeamUse[] {
+        const capacity = opts.pools.find(pool)?.capacity ?? zeroAmounts;
         const teams = new Set([...own.get(pool)?.keys() ?? [], ...table.totals(pool)?.keys() ?? []]);
         return [...teams].map((team) => {
-            const [mine, others] = [own.get(pool)?.get(team), table.totals(pool)?.get(team)];
-            const running = sum(mine?.running, others?.running);
-            const waiting = sum(mine?.waiting?.amounts, others?.waiting);
+            const [ownUsage, others] = [own.get(pool)?.get(team), table.totals(pool)?.get(team)];
+            const running = sum(ownUsage?.running, others?.running);
+            const waiting = sum(ownUsage?.waiting?.amounts, others?.waiting);
             const oldest = table.findLongestWaiting(pool, team)?.row.oldestAtMs ?? Infinity;
             return {
                 team,
                 weight: weightOf(team),
                 running: dominantShare(running, capacity),
                 runningTasks: running.tasks,
-                runningHere: mine?.running.tasks ?? 0,
+                runningHere: ownUsage?.running.tasks ?? 0,
                 waiting: dominantShare(waiting, capacity),
                 waitingTasks: waiting.tasks,
-                urgentTasks: (mine === undefined ? 0 : urgentTasksOf(mine)) + (others?.urgentTasks ?? 0),
+                urgentTasks: (ownUsage === undefined ? 0 : urgentTasksOf(ownUsage)) + (others?.urgentTasks ?? 0),
                 urgentElsewhere: others?.urgentTasks ?? 0,
-                oldestAtMs: Math.min(oldest, mine?.waiting?.oldestAtMs ?? Infinity),
+                oldestAtMs: Math.min(oldest, ownUsage?.waiting?.oldestAtMs ?? Infinity),
             };
         });
     }
 
     /**
-     * Each team's share of what is running now. The pot is what runs, rather than the configured capacity, because
-     * workers that are set aside or cannot be reached would make every team look below its share.
+     * Returns each team's share of what is running now. What runs is divided, not the configured capacity, because
+     * ejected or unreachable workers would make every team appear to be below its share.
      */
     function sharesOf(pool: string): ReadonlyMap<string, Share> {
-        const known = cached.get(pool);
-        if (known !== undefined && Date.now() - known.atMs < sharesAgeMs) {
+        const known = cachedShares.get(pool);
+        if (known !== undefined && Date.now() - known.atMs < maxSharesAgeMs) {
             return known.shares;
         }
-        const use = listUse(pool);
-        const pot = use.reduce((total, { running }) => total + running, 0);
+        const use = listUsage(pool);
+        const totalInUse = use.reduce((total, { running }) => total + running, 0);
         const demands = use.map((each) => ({ ...each, demand: each.running + each.waiting }));
-        const amounts = fillShares(demands, pot);
+        const amounts = fillShares(demands, totalInUse);
         const shares = new Map(demands.map(({ team, demand }): [string, Share] => {
             const amount = amounts.get(team) ?? 0;
-            return [team, { amount, demand, isLight: demand <= amount * (1 + lightMargin) }];
+            return [team, { amount, demand, isSatisfied: demand <= amount * (1 + satisfiedTolerance) }];
         }));
-        cached.set(pool, { atMs: Date.now(), shares });
+        cachedShares.set(pool, { atMs: Date.now(), shares });
         return shares;
     }
 
-    /** For each team the part of its demand that its share covers, by tasks. */
-    function partsOf(pool: string): ReadonlyMap<string, number> {
+    /** Returns the part of each team's demand that its share covers. */
+    function coveredPartsOf(pool: string): ReadonlyMap<string, number> {
         return new Map(
             [...sharesOf(pool)].map(([team, { amount, demand }]) => [team, demand > 0 ? amount / demand : 0]),
         );
@@ -206,24 +212,27 @@
 
     interface Candidate {
         readonly team: string;
-        /** Urgent work that may go ahead; what it takes counts against its team's further work. */
+        /** True if urgent tasks may go first. The slots that they use count against the team's other tasks. */
         readonly isUrgent: boolean;
-        /** True where the team wants no more than its share: nobody else has a better claim. */
-        readonly isLight: boolean;
-        /** What this entry runs for it beyond its part of the share, by dominant resource. */
+        /** True if the team's demand is within its share, so that no other team has a better claim. */
+        readonly isSatisfied: boolean;
+        /**
+         * What this entry runs for the team beyond this entry's part of the team's share, by dominant resource and
+         * weight.
+         */
         readonly excess: number;
     }
 
     function ownCandidates(pool: string, teams: readonly string[]): readonly Candidate[] {
-        const capacity = opts.pools.find(pool)?.capacity ?? noAmounts;
+        const capacity = opts.pools.find(pool)?.capacity ?? zeroAmounts;
         const shares = sharesOf(pool);
         const rows = own.get(pool) ?? new Map<string, OwnRow>();
         let [ownSum, targetSum] = [0, 0];
         const targets = new Map<string, number>();
         rows.forEach(({ running, waiting }, team) => {
-            const { amount, demand } = shares.get(team) ?? noShare;
+            const { amount, demand } = shares.get(team) ?? zeroShare;
             const inUse = dominantShare(running, capacity);
-            const wanted = inUse + dominantShare(waiting?.amounts ?? noAmounts, capacity);
+            const wanted = inUse + dominantShare(waiting?.amounts ?? zeroAmounts, capacity);
             const target = demand > 0 ? amount * wanted / demand : 0;
             targets.set(team, target);
             ownSum += inUse;
@@ -234,18 +243,21 @@
             if (row?.waiting === undefined) {
                 return [];
             }
-            const share = shares.get(team) ?? noShare;
+            const share = shares.get(team) ?? zeroShare;
             const target = targetSum === 0 ? 0 : ownSum * (targets.get(team) ?? 0) / targetSum;
             const running = dominantShare(row.running, capacity);
             const excess = (running + biasOf(pool, team) - target) / weightOf(team);
-            return [{ team, isUrgent: urgentTasksOf(row) > 0, isLight: share.isLight, excess }];
+            return [{ team, isUrgent: urgentTasksOf(row) > 0, isSatisfied: share.isSatisfied, excess }];
         });
     }
 
-    /** The team with the best claim on a slot among those that have waited for a while at other entries. */
+    /**
+     * Returns the team at another entry that lacks the most tasks to its share. If this entry has waiting tasks of its
+     * own, only teams count that have waited for `offerAfterMs` and lack more than one task or have urgent tasks.
+     */
     function findPeerTurn(pool: string, hasOwn: boolean): Turn | undefined {
         const shares = sharesOf(pool);
-        const capacity = opts.pools.find(pool)?.capacity ?? noAmounts;
+        const capacity = opts.pools.find(pool)?.capacity ?? zeroAmounts;
         let best: { readonly team: string; readonly boot: string; readonly missing: number; } | undefined;
         for (const [team, { waiting, urgentTasks }] of table.totals(pool) ?? []) {
             const longest = waiting.tasks < 1 ? undefined : table.findLongestWaiting(pool, team);
@@ -253,8 +265,8 @@
                 continue;
             }
             const oneTask = dominantShare(waiting, capacity) / waiting.tasks;
-            const missing = ((shares.get(team)?.amount ?? 0) - useOf(pool, team)) / oneTask;
-            const isLate = Date.now() - longest.row.oldestAtMs > lateMs && (missing > 1 || urgentTasks > 0);
+            const missing = ((shares.get(team)?.amount ?? 0) - usageOf(pool, team)) / oneTask;
+            const isLate = Date.now() - longest.row.oldestAtMs > offerAfterMs && (missing > 1 || urgentTasks > 0);
             if ((!hasOwn || isLate) && (best === undefined || missing > best.missing)) {
                 best = { team, boot: longest.boot, missing };
             }
@@ -262,30 +274,30 @@
         return best === undefined ? undefined : { kind: "peer", team: best.team, boot: best.boot };
     }
 
-    function partRows(pool: string): EntryRows {
+    function ownTaskCounts(pool: string): EntryRows {
         return [...own.get(pool) ?? []].map(([team, { running, waiting }]) =>
             [team, { running, waiting: waiting?.amounts }] as const
         );
     }
 
     function nextTurn(pool: string, ownTeams: readonly string[], offers: Offers): Turn {
-        const mine = ownCandidates(pool, ownTeams).reduce(first, undefined);
-        const isSettled = mine?.isUrgent === true || mine?.isLight === true;
-        const isAsked = mine === undefined || offers === "always"
+        const ownBest = ownCandidates(pool, ownTeams).reduce(pickBetter, undefined);
+        const hasPrecedence = ownBest?.isUrgent === true || ownBest?.isSatisfied === true;
+        const mayOfferToPeer = ownBest === undefined || offers === "always"
             || random() < 1 / (opts.peers.connected().length + 1);
-        if (offers !== "none" && !isSettled && isAsked) {
-            const peer = findPeerTurn(pool, mine !== undefined);
+        if (offers !== "none" && !hasPrecedence && mayOfferToPeer) {
+            const peer = findPeerTurn(pool, ownBest !== undefined);
             if (peer !== undefined) {
                 return peer;
             }
         }
-        const poorer = offers !== "none" && !isSettled
-            ? findPoorerEntry(partRows(pool), table.rowsByBoot(pool), partsOf(pool), random)
+        const underserved = offers !== "none" && !hasPrecedence
+            ? findPoorerEntry(ownTaskCounts(pool), table.rowsByBoot(pool), coveredPartsOf(pool), random)
             : undefined;
-        if (poorer !== undefined) {
-            return poorer;
+        if (underserved !== undefined) {
+            return underserved;
         }
-        return mine === undefined ? { kind: "nobody" } : { kind: "own", team: mine.team };
+        return ownBest === undefined ? { kind: "nobody" } : { kind: "own", team: ownBest.team };
     }
 
     function biasOf(pool: string, team: string): number {
@@ -293,11 +305,11 @@
     }
 
     /**
-     * Corrects this entry's part of each share by what the whole fleet had too much or too little at the last reports.
-     * Every entry divides its own slots by its own counts, which are always right; the fleet's counts are late, and
-     * entries that all followed them at once would swing from one team to the other.
+     * Corrects this entry's part of each share by the fleet's excess or deficit at the last reports. Each entry divides
+     * its own slots by its own counts, which are always accurate. The fleet's counts are delayed: if all entries
+     * followed them fully, slots would oscillate between teams.
      */
-    function correct(): void {
+    function updateBiases(): void {
         const pools = contendedPools();
         const entries = opts.peers.connected().length + 1;
         [...biases.keys()].filter((pool) => !pools.includes(pool)).forEach((pool) => biases.delete(pool));
@@ -305,9 +317,9 @@
             const shares = sharesOf(pool);
             const known = biases.get(pool) ?? new Map<string, number>();
             biases.set(pool, known);
-            for (const { team, running } of listUse(pool)) {
+            for (const { team, running } of listUsage(pool)) {
                 const excess = (running - (shares.get(team)?.amount ?? 0)) / entries;
-                known.set(team, (known.get(team) ?? 0) * biasKept + excess * biasGain);
+                known.set(team, (known.get(team) ?? 0) * biasRetention + excess * biasGain);
             }
         }
     }
@@ -318,28 +330,28 @@
 
     return {
         addRunning: (pool, team, size) => addSize(ownRow(pool, team).running, size, 1),
-        noteFirstTurn: (pool, team, isUrgent) => ownRow(pool, team).urgentRight.noteStart(isUrgent),
+        noteFirstTurn: (pool, team, isUrgent) => ownRow(pool, team).urgentAllowance.noteStart(isUrgent),
         removeRunning: (pool, team, size) => addSize(ownRow(pool, team).running, size, -1),
         setWaiting(pool, team, waiting) {
             const row = ownRow(pool, team);
-            const hasTurned = (waiting === undefined) !== (row.waiting === undefined);
+            const hasStartedOrStoppedWaiting = (waiting === undefined) !== (row.waiting === undefined);
             row.waiting = waiting;
-            if (hasTurned) {
-                noteContention(pool);
+            if (hasStartedOrStoppedWaiting) {
+                updateContention(pool);
             }
         },
         nextTurn,
         noteOffer: (pool, team, boot) => table.moveOne(boot, pool, team),
         contendedPools,
-        findReclaims: (pool) => findReclaims(listUse(pool), amountsOf(pool), Date.now(), random),
-        isAtShare: (pool, team) => useOf(pool, team) >= (sharesOf(pool).get(team)?.amount ?? 0),
+        findReclaims: (pool) => findReclaims(listUsage(pool), amountsOf(pool), Date.now(), random),
+        isAtShare: (pool, team) => usageOf(pool, team) >= (sharesOf(pool).get(team)?.amount ?? 0),
         onChange(listener) {
             listeners.add(listener);
             return () => listeners.delete(listener);
         },
         start() {
             reports.start();
-            timer = setInterval(correct, opts.reportMs);
+            timer = setInterval(updateBiases, opts.reportMs);
         },
         stop() {
             reports.stop();
@@ -347,7 +359,7 @@
         },
     };
 
-    function first(best: Candidate | undefined, next: Candidate): Candidate {
+    function pickBetter(best: Candidate | undefined, next: Candidate): Candidate {
         if (best === undefined) {
             return next;
         }
@@ -356,14 +368,14 @@
         return isBetter ? next : best;
     }
 
-    function rankOf({ isUrgent, isLight }: Candidate): number {
-        return isUrgent ? 0 : isLight ? 1 : 2;
+    function rankOf({ isUrgent, isSatisfied }: Candidate): number {
+        return isUrgent ? 0 : isSatisfied ? 1 : 2;
     }
 }
 
 function sum(a: MutableAmounts | WaitingWork["amounts"] | undefined, b: MutableAmounts | undefined): MutableAmounts {
     const total = createAmounts();
-    addAmounts(total, a ?? noAmounts, 1);
-    addAmounts(total, b ?? noAmounts, 1);
+    addAmounts(total, a ?? zeroAmounts, 1);
+    addAmounts(total, b ?? zeroAmounts, 1);
     return total;
 }
--- a/src/shares/createUrgentRight.ts
+++ b/src/shares/createUrgentRight.ts
@@ -1,23 +1,24 @@
-/** Whether a team may have its urgent work go ahead of its turn. */
+/** Decides whether a team's urgent tasks may start ahead of its turn. */
 export interface UrgentRight {
     noteStart(isUrgent: boolean): void;
     isGiven(): boolean;
 }
 
 const halfLifeMs = 10_000;
-const mostUrgentPart = 0.2;
-/** Starts that are urgent and always allowed, so that a team which starts little has the right too. */
-const alwaysAllowed = 1;
+const maxUrgentPart = 0.2;
+/** Urgent starts beyond the part above that are always allowed, so that a team with few starts has an allowance too. */
+const alwaysAllowedStarts = 1;
 
 /**
- * Gives the right while at most a fifth of what the team starts is urgent. A team that marks everything urgent would
- * otherwise take every free slot and the others would fall below their shares; it loses the right and has its share.
+ * Allows urgent tasks to go first while at most a fifth of the team's recent starts is urgent. Otherwise a team that
+ * marks everything urgent would take every free slot, and the others would fall below their shares. Such a team loses
+ * the allowance and gets its share.
  */
 export function createUrgentRight(): UrgentRight {
     let [starts, urgentStarts] = [0, 0];
     let atMs = Date.now();
 
-    function fade(): void {
+    function decay(): void {
         const nowMs = Date.now();
         const factor = 0.5 ** (Math.max(0, nowMs - atMs) / halfLifeMs);
         starts *= factor;
@@ -27,13 +28,13 @@
 
     return {
         noteStart(isUrgent) {
-            fade();
+            decay();
             starts++;
             urgentStarts += isUrgent ? 1 : 0;
         },
         isGiven() {
-            fade();
-            return urgentStarts <= starts * mostUrgentPart + alwaysAllowed;
+            decay();
+            return urgentStarts <= starts * maxUrgentPart + alwaysAllowedStarts;
         },
     };
 }
--- a/src/shares/fillShares.ts
+++ b/src/shares/fillShares.ts
@@ -2,23 +2,23 @@
 export interface ShareDemand {
     readonly team: string;
     readonly weight: number;
-    /** What it runs and has waiting, as a part of the pool. */
+    /** Running and waiting tasks, as a part of the pool. */
     readonly demand: number;
 }
 
 /**
- * Weighted max-min: raises one level for all, so that each team gets the lesser of its demand and weight times level,
- * until the pot is spent.
+ * Weighted max-min fairness: raises one common level until `total` is used up. Each team gets the lesser of its demand
+ * and its weight times the level.
  */
-export function fillShares(demands: readonly ShareDemand[], pot: number): ReadonlyMap<string, number> {
+export function fillShares(demands: readonly ShareDemand[], total: number): ReadonlyMap<string, number> {
     const shares = new Map<string, number>();
-    const rising = [...demands].sort((a, b) => a.demand / a.weight - b.demand / b.weight);
-    let weightLeft = rising.reduce((sum, { weight }) => sum + weight, 0);
-    let potLeft = pot;
-    for (const { team, weight, demand } of rising) {
-        const share = Math.min(demand, potLeft * weight / weightLeft);
+    const byDemandPerWeight = [...demands].sort((a, b) => a.demand / a.weight - b.demand / b.weight);
+    let weightLeft = byDemandPerWeight.reduce((sum, { weight }) => sum + weight, 0);
+    let totalLeft = total;
+    for (const { team, weight, demand } of byDemandPerWeight) {
+        const share = Math.min(demand, totalLeft * weight / weightLeft);
         shares.set(team, share);
-        potLeft -= share;
+        totalLeft -= share;
         weightLeft -= weight;
     }
     return shares;
--- a/src/shares/findPoorerEntry.ts
+++ b/src/shares/findPoorerEntry.ts
@@ -1,6 +1,6 @@
 import type { Turn } from "./shares";
 
-/** What an entry runs and has waiting of one team, in tasks. */
+/** Numbers of running and waiting tasks of one team at one entry. */
 export interface PartRow {
     readonly running: { readonly tasks: number; };
     readonly waiting?: { readonly tasks: number; } | undefined;
@@ -9,20 +9,20 @@
 export type EntryRows = Iterable<readonly [string, PartRow]>;
 
 interface Surplus {
-    /** How much more the entry runs than its part of all shares by what it has waiting, in tasks. */
+    /** Number of running tasks beyond the entry's fair part. The fair part is what the shares cover of its demand. */
     readonly surplus: number;
     readonly running: number;
     readonly waitingTeam: string | undefined;
 }
 
-/** Part of its surplus that an entry offers to others, for each time as long as a task runs. */
+/** Part of its surplus that an entry offers to others during the run time of one task. */
 const offeredPart = 0.5;
 
 /**
- * Finds the entry that has the fewest slots for what waits there, if this one has more than its part. A slot stays with
- * the entry whose task ended there, so without this work at an entry with few slots would wait long.
+ * Finds the entry whose waiting tasks lack the most slots, if this entry has more slots than its fair part. A freed
+ * slot normally stays with the entry whose task ended. Without this, tasks at an entry with few slots would wait long.
  *
- * @param parts for each team the part of its demand that its share covers
+ * @param parts by team, the part of its demand that its share covers
  */
 export function findPoorerEntry(
     ownRows: EntryRows,
@@ -34,24 +34,26 @@
     if (surplus < 1 || random() > surplus / running * offeredPart) {
         return undefined;
     }
-    let poorest: { readonly boot: string; readonly team: string; readonly surplus: number; } | undefined;
+    let mostUnderserved: { readonly boot: string; readonly team: string; readonly surplus: number; } | undefined;
     for (const [boot, rows] of others) {
-        const { waitingTeam, surplus: theirs } = surplusOf(rows, parts);
-        if (waitingTeam !== undefined && theirs < (poorest?.surplus ?? -1)) {
-            poorest = { boot, team: waitingTeam, surplus: theirs };
+        const { waitingTeam, surplus: theirSurplus } = surplusOf(rows, parts);
+        if (waitingTeam !== undefined && theirSurplus < (mostUnderserved?.surplus ?? -1)) {
+            mostUnderserved = { boot, team: waitingTeam, surplus: theirSurplus };
         }
     }
-    return poorest === undefined ? undefined : { kind: "peer", team: poorest.team, boot: poorest.boot };
+    return mostUnderserved === undefined
+        ? undefined
+        : { kind: "peer", team: mostUnderserved.team, boot: mostUnderserved.boot };
 }
 
 function surplusOf(rows: EntryRows, parts: ReadonlyMap<string, number>): Surplus {
-    let [running, fair] = [0, 0];
+    let [running, fairTasks] = [0, 0];
     let waitingTeam: string | undefined;
     for (const [team, row] of rows) {
         const waiting = row.waiting?.tasks ?? 0;
         running += row.running.tasks;
-        fair += (row.running.tasks + waiting) * (parts.get(team) ?? 0);
+        fairTasks += (row.running.tasks + waiting) * (parts.get(team) ?? 0);
         waitingTeam = waiting >= 1 ? team : waitingTeam;
     }
-    return { surplus: running - fair, running, waitingTeam };
+    return { surplus: running - fairTasks, running, waitingTeam };
 }
--- a/src/shares/findReclaims.ts
+++ b/src/shares/findReclaims.ts
@@ -1,17 +1,17 @@
 import type { Reclaim } from "./shares";
 import type { TeamUse } from "./teamUse";
 
-/** A team below its share may wait this long before others' running work is stopped for it, in milliseconds. */
+/** How long a team below its share waits before other teams' running tasks are stopped for it. */
 const reclaimAfterMs = 1500;
 const reclaimUrgentAfterMs = 600;
-const mostUrgentAtOnce = 4;
+const maxUrgentAtOnce = 4;
 
 /**
- * Works out how many running tasks of teams above their share this entry should give back.
+ * Computes how many running tasks of teams above their share this entry should stop.
  *
- * Lent room comes back by itself as tasks end. Where they run long it would not, and the team that lent it would see
- * its work wait for minutes though its share is free by right. Each entry gives back in proportion to what it runs of
- * the team, rounded by chance, so that all entries together give back about what is missing.
+ * Lent capacity is returned as tasks end. With long tasks that takes too long: the tasks of the team that lent it would
+ * wait for minutes although the team is below its share. Each entry stops tasks in proportion to the number of the
+ * team's tasks that it runs, rounded at random, so that all entries together return about the missing amount.
  */
 export function findReclaims(
     use: readonly TeamUse[],
@@ -19,13 +19,15 @@
     nowMs: number,
     random: () => number,
 ): readonly Reclaim[] {
-    const missing = use.reduce((sum, each) => sum + missingOf(each, shares.get(each.team) ?? 0, nowMs), 0);
+    const missingSum = use.reduce((sum, each) => sum + missingOf(each, shares.get(each.team) ?? 0, nowMs), 0);
     const surpluses = use.map((each) => surplusOf(each, shares.get(each.team) ?? 0));
     const surplusSum = surpluses.reduce((sum, surplus) => sum + surplus, 0);
     return use.flatMap((each, at) => {
         const { team, runningTasks, runningHere } = each;
         const surplus = surpluses[at] ?? 0;
-        const forOthers = surplusSum > 0 ? Math.min(surplus, missing * surplus / surplusSum) / oneTaskOf(each) : 0;
+        const forOthers = surplusSum > 0
+            ? Math.min(surplus, missingSum * surplus / surplusSum) / meanTaskShareOf(each)
+            : 0;
         const part = (forOthers + urgentAtShare(each, shares.get(team) ?? 0, nowMs)) * runningHere
             / Math.max(1, runningTasks);
         const tasks = Math.floor(part) + (random() < part % 1 ? 1 : 0);
@@ -33,23 +35,23 @@
     });
 }
 
-function oneTaskOf({ running, runningTasks }: TeamUse): number {
+function meanTaskShareOf({ running, runningTasks }: TeamUse): number {
     return running / Math.max(1, runningTasks);
 }
 
-/** What the team uses above its share; less than half a task counts as none. */
+/** Returns the team's usage above its share. Less than half a task counts as 0. */
 function surplusOf(each: TeamUse, share: number): number {
     const surplus = each.running - share;
-    return surplus > oneTaskOf(each) / 2 ? surplus : 0;
+    return surplus > meanTaskShareOf(each) / 2 ? surplus : 0;
 }
 
 /**
- * Urgent work of a team that has its share already, waiting at entries that run none of its tasks: the others give up
- * some of the team's own.
+ * Returns the number of the team's own tasks to stop for its urgent tasks, if the team already has its share and the
+ * urgent tasks wait at other entries, which may run none of its tasks.
  */
 function urgentAtShare(each: TeamUse, share: number, nowMs: number): number {
     const isLate = nowMs - each.oldestAtMs > reclaimUrgentAfterMs && each.running >= share;
-    return isLate ? Math.min(each.urgentElsewhere, mostUrgentAtOnce) : 0;
+    return isLate ? Math.min(each.urgentElsewhere, maxUrgentAtOnce) : 0;
 }
 
 function missingOf(each: TeamUse, share: number, nowMs: number): number {
@@ -57,7 +59,7 @@
         return 0;
     }
     const oneTask = each.waiting / each.waitingTasks;
-    const bound = each.urgentTasks > 0 ? reclaimUrgentAfterMs : reclaimAfterMs;
-    const isLate = nowMs - each.oldestAtMs > bound && each.running + oneTask / 2 <= share;
+    const waitBoundMs = each.urgentTasks > 0 ? reclaimUrgentAfterMs : reclaimAfterMs;
+    const isLate = nowMs - each.oldestAtMs > waitBoundMs && each.running + oneTask / 2 <= share;
     return isLate ? Math.min(each.waiting, share - each.running) : 0;
 }
--- a/src/shares/messages.ts
+++ b/src/shares/messages.ts
@@ -2,12 +2,15 @@
 
 /** Topic of reports between entries. */
 export const reportTopic = "shares";
-/** Topic of the question for a whole report, sent where a report was missed. */
+/** Topic of the request for a full report, sent after a report was missed. */
 export const wholeTopic = "shares.whole";
 
 const amount = z.number().nonnegative();
 
-/** Team; running tasks, processors, memory, accelerators; the same waiting; urgent tasks; age of the oldest in ms. */
+/**
+ * Team; running tasks, processors, memory, accelerators; the same four for waiting tasks; urgent waiting tasks; age of
+ * the oldest waiting task in ms.
+ */
 const rowSchema = z.tuple([
     z.string().max(128),
     amount,
@@ -23,7 +26,7 @@
 ]);
 export type ReportRow = z.infer<typeof rowSchema>;
 
-/** Rows that have changed since the report before, by pool. A whole report replaces all that was known. */
+/** Rows by pool that have changed since the previous report. A full report replaces all earlier rows. */
 export const reportSchema = z.object({
     sequence: z.number().int().nonnegative(),
     isWhole: z.boolean(),
--- a/src/shares/teamUse.ts
+++ b/src/shares/teamUse.ts
@@ -1,16 +1,16 @@
-/** What one team uses and wants in one pool, in the whole fleet as this entry knows it. */
+/** One team's usage and demand in one pool, over the whole fleet as far as this entry knows. */
 export interface TeamUse {
     readonly team: string;
     readonly weight: number;
-    /** Part of the pool that is in use, by dominant resource. */
+    /** Part of the pool that the team uses, by dominant resource. */
     readonly running: number;
     readonly runningTasks: number;
-    /** Tasks that run through this entry. */
+    /** Running tasks that this entry started. */
     readonly runningHere: number;
     readonly waiting: number;
     readonly waitingTasks: number;
     readonly urgentTasks: number;
-    /** Those of them that wait at other entries. */
+    /** Number of `urgentTasks` that wait at other entries. */
     readonly urgentElsewhere: number;
     readonly oldestAtMs: number;
 }
--- a/src/shares/test/shares.steps.ts
+++ b/src/shares/test/shares.steps.ts
@@ -16,8 +16,8 @@
     clock: Clock;
     world: DispatchWorld;
     sent: Sent[];
-    /** Slots in use by team, looked at every 10 ms. */
-    looks: { readonly atMs: number; readonly byTeam: ReadonlyMap<string, number>; }[];
+    /** Slots in use by team, sampled every 10 ms. */
+    samples: { readonly atMs: number; readonly byTeam: ReadonlyMap<string, number>; }[];
     meanwhile: (() => void)[];
 }
 
@@ -29,7 +29,7 @@
     readonly task?: Partial<TaskRequest>;
 }
 
-const lookMs = 10;
+const sampleIntervalMs = 10;
 const slots = 8;
 
 setDefaultTimeout(60_000);
@@ -37,7 +37,7 @@
 Before(function(this: World) {
     this.clock = installClock();
     this.sent = [];
-    this.looks = [];
+    this.samples = [];
     this.meanwhile = [];
 });
 
@@ -56,7 +56,7 @@
     });
 }
 
-function topUp(world: World, { team, count, runMs, entries, task }: Supply): void {
+function refillQueue(world: World, { team, count, runMs, entries, task }: Supply): void {
     for (const at of entries ?? world.world.entries.keys()) {
         for (let waiting = world.world.entries[at]!.waitingOf("stalls", `team-${team}`); waiting < count; waiting++) {
             send(world, at, team, runMs, task);
@@ -65,11 +65,11 @@
 }
 
 async function keepWaiting(world: World, supplies: readonly Supply[], forMs: number): Promise<void> {
-    for (let at = 0; at < forMs; at += lookMs) {
-        supplies.forEach((supply) => topUp(world, supply));
+    for (let at = 0; at < forMs; at += sampleIntervalMs) {
+        supplies.forEach((supply) => refillQueue(world, supply));
         world.meanwhile.forEach((run) => run());
-        await world.clock.advance(lookMs);
-        world.looks.push({ atMs: Date.now(), byTeam: countRunning(world) });
+        await world.clock.advance(sampleIntervalMs);
+        world.samples.push({ atMs: Date.now(), byTeam: countRunning(world) });
     }
 }
 
@@ -81,12 +81,12 @@
     return byTeam;
 }
 
-function meanOf(world: World, team: number, lastMs: number): number {
-    const looks = world.looks.filter(({ atMs }) => atMs > Date.now() - lastMs);
-    return looks.reduce((sum, { byTeam }) => sum + (byTeam.get(`team-${team}`) ?? 0), 0) / looks.length;
+function meanSlotsInUse(world: World, team: number, lastMs: number): number {
+    const recent = world.samples.filter(({ atMs }) => atMs > Date.now() - lastMs);
+    return recent.reduce((sum, { byTeam }) => sum + (byTeam.get(`team-${team}`) ?? 0), 0) / recent.length;
 }
 
-function allSlots(world: World): number {
+function totalSlots(world: World): number {
     return world.world.workers.workers.size * slots;
 }
 
@@ -143,7 +143,7 @@
 When(
     "team {int} keeps {int} tasks of {int} ms waiting at each entry for {int} ms",
     async function(this: World, team: number, count: number, runMs: number, forMs: number) {
-        await keepWaitingLater(this, { team, count, runMs }, forMs);
+        await keepWaitingIntoNextStep(this, { team, count, runMs }, forMs);
     },
 );
 
@@ -162,10 +162,10 @@
     },
 );
 
-/** A scenario that names what happens meanwhile has it in its next step, which goes on for as long again. */
-async function keepWaitingLater(world: World, supply: Supply, forMs: number): Promise<void> {
+/** Waits only half of `forMs`, because the scenario's next step ("meanwhile ...") goes on with this supply. */
+async function keepWaitingIntoNextStep(world: World, supply: Supply, forMs: number): Promise<void> {
     await keepWaiting(world, [supply], forMs / 2);
-    world.meanwhile.push(() => topUp(world, supply));
+    world.meanwhile.push(() => refillQueue(world, supply));
 }
 
 When(
@@ -178,7 +178,7 @@
                     deadlineAtMs: Date.now() + 29_000,
                 });
             }
-            at += lookMs;
+            at += sampleIntervalMs;
         });
         await keepWaiting(this, [], 2000);
     },
@@ -192,9 +192,9 @@
 );
 
 When(
-    "team {int} fills the pool with tasks of {int} ms that may not be repeated",
+    "team {int} fills the pool with non-repeatable tasks of {int} ms",
     async function(this: World, team: number, runMs: number) {
-        for (let at = 0; at < allSlots(this); at++) {
+        for (let at = 0; at < totalSlots(this); at++) {
             send(this, at % this.world.entries.length, team, runMs, { repeatable: false });
         }
         await keepWaiting(this, [], 200);
@@ -205,7 +205,7 @@
     this.world.entries.forEach((_entry, at) => send(this, at, team, 100, { urgent: true }));
 });
 
-When("the entries lose each other", function(this: World) {
+When("the link between the entries is lost", function(this: World) {
     const [one, two] = this.world.entries;
     this.world.network.cuts.add(`${one!.boot}>${two!.boot}`).add(`${two!.boot}>${one!.boot}`);
 });
@@ -213,7 +213,7 @@
 Then(
     "over the last second team {int} has between {int}% and {int}% of the slots",
     function(this: World, team: number, least: number, most: number) {
-        const percent = meanOf(this, team, 1000) / allSlots(this) * 100;
+        const percent = meanSlotsInUse(this, team, 1000) / totalSlots(this) * 100;
         assert.ok(percent >= least && percent <= most, `${percent.toFixed(1)}%`);
     },
 );
@@ -221,13 +221,13 @@
 Then(
     "team {int} has between {int}% and {int}% of the slots",
     function(this: World, team: number, least: number, most: number) {
-        const percent = (countRunning(this).get(`team-${team}`) ?? 0) / allSlots(this) * 100;
+        const percent = (countRunning(this).get(`team-${team}`) ?? 0) / totalSlots(this) * 100;
         assert.ok(percent >= least && percent <= most, `${percent.toFixed(1)}%`);
     },
 );
 
 Then("at least {int}% of the slots are in use", function(this: World, least: number) {
-    const inUse = (meanOf(this, 1, 1000) + meanOf(this, 2, 1000)) / allSlots(this) * 100;
+    const inUse = (meanSlotsInUse(this, 1, 1000) + meanSlotsInUse(this, 2, 1000)) / totalSlots(this) * 100;
     assert.ok(inUse >= least, `${inUse.toFixed(1)}%`);
 });
 
@@ -245,7 +245,7 @@
     );
 });
 
-Then("every task that may not be repeated is answered", async function(this: World) {
+Then("every non-repeatable task is answered", async function(this: World) {
     await this.clock.advance(6000);
     const others = this.sent.filter(({ repeatable, end }) => !repeatable && end?.kind !== "answered");
     assert.equal(others.length, 0);
