--- a/src/once/bucketSettings.ts
+++ b/src/once/bucketSettings.ts
@@ -1,22 +1,24 @@
-/** How claims are kept at the platform. */
+/** How claims are stored on the platform. */
 export interface BucketSettings {
-    /** Buckets over which keys are spread by hash; the same in every entry of a fleet. */
+    /** Number of buckets that keys are spread over by hash; must be the same in every entry of a fleet. */
     readonly buckets: number;
-    /** Mean time between two writes of one bucket under load, in milliseconds; an idle bucket is written at once. */
+    /** Mean interval between writes of one bucket under load, in milliseconds; an idle bucket is written at once. */
     readonly minWriteIntervalMs: number;
-    /** Writes that may follow each other without that time after a quiet time. */
+    /** Number of writes that may follow each other without that interval after an idle period. */
     readonly burstWrites: number;
-    /** An open segment above this size is sealed, in bytes. */
+    /**
+     * The open segment of a bucket is sealed before a write would make the bucket's head larger than this, in bytes.
+     */
     readonly sealBytes: number;
-    /** Most sealed segments of a bucket; when all are in use, claims are refused. */
+    /** Maximum number of sealed segments of a bucket; when all slots are in use, claims are refused. */
     readonly slots: number;
-    /** How long a claim is kept at least, in milliseconds. */
+    /** Minimum time that a claim is kept, in milliseconds. */
     readonly retentionMs: number;
-    /** How long a claim may take before its attempt is given up, in milliseconds. */
+    /** Timeout for making a claim durable, in milliseconds. */
     readonly claimTimeoutMs: number;
-    /** After the platform failed, claims are refused for this long without a call, in milliseconds. */
+    /** After a failed platform call, claims and lookups are refused for this long without a call, in milliseconds. */
     readonly platformPauseMs: number;
-    /** A cached bucket this fresh answers lookups at admission, in milliseconds. */
+    /** Maximum age of a cached bucket that may answer lookups at admission, in milliseconds. */
     readonly lookupCacheMs: number;
 }
 
--- a/src/once/chooseHome.ts
+++ b/src/once/chooseHome.ts
@@ -1,12 +1,12 @@
 import { createHash } from "node:crypto";
 
 /**
- * The entry that commits a bucket's claims, by rendezvous hash over the boots that can be reached. Two entries may
- * choose differently for a while; compare-and-swap keeps that safe, it only costs conflicts.
+ * Chooses the entry that commits a bucket's claims, by rendezvous hashing over the boots that can be reached. Two
+ * entries may choose differently for a time. Compare-and-swap keeps that safe; the only cost is write conflicts.
  */
 export function chooseHome(bucket: number, boots: readonly string[]): string {
-    const scored = boots.map((boot) => ({ boot, score: scoreOf(bucket, boot) }));
-    return scored.reduce((best, each) => each.score > best.score ? each : best).boot;
+    const scores = boots.map((boot) => ({ boot, score: scoreOf(bucket, boot) }));
+    return scores.reduce((best, candidate) => candidate.score > best.score ? candidate : best).boot;
 }
 
 function scoreOf(bucket: number, boot: string): string {
--- a/src/once/claimValue.ts
+++ b/src/once/claimValue.ts
@@ -1,41 +1,45 @@
 import { z } from "zod";
 
-/** Who holds a claim: one attempt of one boot. Numbers are given by the boot, from 1 on, each once. */
+/** Holder of a claim: one attempt of one boot. Each boot numbers its attempts from 1 and never reuses a number. */
 export interface Holder {
     readonly boot: string;
     readonly number: number;
 }
 
-/** A claim that is to be made durable. */
+/** A claim to be made durable. */
 export interface ClaimRequest extends Holder {
     readonly hash: string;
     readonly fingerprint: string;
 }
 
-/** A claim as it stands in a bucket. */
+/** A claim as stored in a bucket. */
 export interface StoredClaim extends Holder {
     readonly fingerprint: string;
 }
 
-/** `[hash, index of the boot, number, fingerprint]` is a claim; `[hash]` says that its attempt ended "not run". */
+/**
+ * `[hash, index into boots, number, fingerprint]` is a claim; `[hash]` marks that the claim's attempt ended "not run".
+ */
 export type ClaimRecord = readonly [string, number, number, string] | readonly [string];
 
-/** Claims that stand together in one value. */
+/** Claims stored together in one value. */
 export interface Segment {
     readonly boots: readonly string[];
     readonly records: readonly ClaimRecord[];
 }
 
-/** One sealed segment: where it lies, and until when its claims are kept. */
+/** A sealed segment: its slot, and when it was sealed. Its claims are kept for the retention after that. */
 export interface SealedSegment {
     readonly slot: number;
     readonly sealedAtMs: number;
 }
 
-/** The head of a bucket: the open segment, and the list of the sealed ones. */
+/** Head of a bucket: the open segment and the list of sealed segments. */
 export interface BucketHead extends Segment {
     readonly sealed: readonly SealedSegment[];
-    /** Revision of each slot's value as last written by a sealing; fences off a home that was paused. */
+    /**
+     * Revision of each slot's value when it was last sealed; fences writes of a committer that was paused meanwhile.
+     */
     readonly slotRevisions: readonly number[];
 }
 
@@ -48,25 +52,25 @@
     boots: z.array(z.string().min(1).max(128)).max(100_000),
     records: z.array(recordSchema).max(100_000),
 };
-const segmentSchema = z.object(segmentShape).refine(namesKnownBoots, "a claim names a boot that is not listed");
+const segmentSchema = z.object(segmentShape).refine(refersToListedBoots, "a claim refers to a boot that is not listed");
 const headSchema = z.object({
     ...segmentShape,
     sealed: z.array(z.object({ slot: z.number().int().nonnegative(), sealedAtMs: z.number() })).max(10_000),
     slotRevisions: z.array(z.number().int().nonnegative()).max(10_000),
-}).refine(namesKnownBoots, "a claim names a boot that is not listed");
+}).refine(refersToListedBoots, "a claim refers to a boot that is not listed");
 
 export const emptyHead: BucketHead = { boots: [], records: [], sealed: [], slotRevisions: [] };
 
-function namesKnownBoots({ boots, records }: Segment): boolean {
+function refersToListedBoots({ boots, records }: Segment): boolean {
     return records.every((record) => record.length === 1 || record[1] < boots.length);
 }
 
-/** Gives `undefined` for a value that this version cannot read. */
+/** Returns `undefined` for a value that this version cannot parse. */
 export function parseHead(text: string): BucketHead | undefined {
     return parseValue(text, headSchema);
 }
 
-/** Gives `undefined` for a value that this version cannot read. */
+/** Returns `undefined` for a value that this version cannot parse. */
 export function parseSegment(text: string): Segment | undefined {
     return parseValue(text, segmentSchema);
 }
@@ -80,13 +84,13 @@
     }
 }
 
-/** Adds claims and "not run" marks to the open segment. */
+/** Returns the head with claims and "not run" marks added to its open segment. */
 export function extendHead(head: BucketHead, claims: readonly ClaimRequest[], marks: readonly string[]): BucketHead {
     const boots = [...head.boots];
     const records: ClaimRecord[] = [...head.records];
     for (const { hash, boot, number, fingerprint } of claims) {
-        const known = boots.indexOf(boot);
-        const at = known >= 0 ? known : boots.push(boot) - 1;
+        const listedAt = boots.indexOf(boot);
+        const at = listedAt >= 0 ? listedAt : boots.push(boot) - 1;
         records.push([hash, at, number, fingerprint]);
     }
     marks.forEach((hash) => records.push([hash]));
--- a/src/once/createBucketHome.ts
+++ b/src/once/createBucketHome.ts
@@ -5,12 +5,12 @@
 import { createBucketStore, type WriteResult } from "./createBucketStore";
 
 /**
- * What became of a claim.
+ * Result of a claim.
  *
- * - `granted`: the claim is durable and this holder's.
+ * - `granted`: the claim is durable and belongs to the attempt that requested it.
  * - `taken`: another attempt holds the key.
- * - `unavailable`: the platform stayed silent; the claim may become durable later.
- * - `full`: the bucket has no room for another claim; nothing was written.
+ * - `unavailable`: the platform did not confirm the claim; it may still become durable later.
+ * - `full`: the bucket has no capacity for another claim; nothing was written.
  */
 export type ClaimResult =
     | { readonly kind: "granted"; }
@@ -24,31 +24,31 @@
     readonly isNotRun: boolean;
 }
 
-/** What is known of a key; `free` where no claim stood when it was looked up. */
+/** Result of a lookup; `free` if there was no claim for the key when the bucket was last read or written. */
 export type LookupResult =
     | { readonly kind: "free"; }
     | TakenClaim
     | { readonly kind: "unavailable"; };
 
-/** Commits claims of one bucket in groups, and looks claims up. */
+/** Commits the claims of one bucket in batches (group commit), and looks claims up. */
 export interface BucketHome {
     commit(claim: ClaimRequest): Promise<ClaimResult>;
-    /** Records in the next write that the attempt which held the claim ended "not run". */
+    /** Records with the next write of claims that the attempt which holds the claim ended "not run". */
     mark(mark: Mark): void;
-    /** A fresh lookup reads the platform after it was asked for; another may use what was seen lately. */
+    /** Looks a claim up. If none is cached, a fresh lookup reads the platform; any other may rely on a recent cache. */
     lookup(hash: string, isFresh: boolean): Promise<LookupResult>;
     /** Claims held in memory. */
     size(): number;
 }
 
-/** The attempt that held a claim and ended "not run". */
+/** Names the attempt that holds a claim and ended "not run". */
 export interface Mark extends Holder {
     readonly hash: string;
 }
 
 interface PendingClaim {
     readonly claim: ClaimRequest;
-    readonly endAtMs: number;
+    readonly timeoutAtMs: number;
     resolve(result: ClaimResult): void;
 }
 
@@ -57,10 +57,12 @@
     resolve(result: LookupResult): void;
 }
 
-const lostAnswerPauseMs = 50;
+const lostAnswerDelayMs = 50;
 
-/** Marks wait for the next claim of their bucket; those beyond this many are dropped, and the claim stays unmarked. */
-const maxWaitingMarks = 1000;
+/**
+ * Marks wait for the next claim of their bucket. Marks beyond this many are dropped, and their claims stay unmarked.
+ */
+const maxPendingMarks = 1000;
 
 export function createBucketHome(platform: Platform, settings: BucketSettings, bucket: number): BucketHome {
     const store = createBucketStore({ platform, settings, bucket });
@@ -68,17 +70,17 @@
     const lookups: PendingLookup[] = [];
     const marks: Mark[] = [];
     let isBusy = false;
-    let pacedUntilMs = -Infinity;
-    let pausedUntilMs = -Infinity;
+    let rateLimitedUntilMs = -Infinity;
+    let backoffUntilMs = -Infinity;
 
-    function find(hash: string): TakenClaim | undefined {
+    function findCached(hash: string): TakenClaim | undefined {
         const found = store.index.find(hash);
         return found === undefined ? undefined : { kind: "taken", ...found.claim, isNotRun: found.isNotRun };
     }
 
-    /** Decides on what is known; `undefined` where the claim has to be written. */
-    function decide(claim: ClaimRequest): ClaimResult | undefined {
-        const found = find(claim.hash);
+    /** Decides a claim from the cached bucket; `undefined` if the claim has to be written. */
+    function decideFromCache(claim: ClaimRequest): ClaimResult | undefined {
+        const found = findCached(claim.hash);
         if (found === undefined) {
             return undefined;
         }
@@ -86,29 +88,29 @@
         return isOwn ? { kind: "granted" } : found;
     }
 
-    function isPaused(): boolean {
-        return Date.now() < pausedUntilMs;
+    function isBackingOff(): boolean {
+        return Date.now() < backoffUntilMs;
     }
 
-    function holdOff(): void {
-        pausedUntilMs = Date.now() + settings.platformPauseMs;
+    function backOff(): void {
+        backoffUntilMs = Date.now() + settings.platformPauseMs;
     }
 
-    /** Starts a round at once when idle, or when the least time between calls is over. */
-    function wake(): void {
+    /** Starts processing if it is idle and there is work; each round is rate-limited. */
+    function startIfIdle(): void {
         if (!isBusy && claims.length + lookups.length > 0) {
             isBusy = true;
-            void run();
+            void runRounds();
         }
     }
 
-    async function run(): Promise<void> {
+    async function runRounds(): Promise<void> {
         while (claims.length + lookups.length > 0) {
-            await pace();
-            const asked = lookups.splice(0);
+            await waitForRate();
+            const pendingLookups = lookups.splice(0);
             const batch = claims.splice(0);
-            if (asked.length > 0) {
-                await answerLookups(asked);
+            if (pendingLookups.length > 0) {
+                await answerLookups(pendingLookups);
             }
             if (batch.length > 0) {
                 await commitBatch(batch);
@@ -117,30 +119,30 @@
         isBusy = false;
     }
 
-    /** Keeps the mean time between rounds, but lets a few follow each other at once after a quiet time. */
-    async function pace(): Promise<void> {
-        const waitMs = pacedUntilMs - settings.burstWrites * settings.minWriteIntervalMs - Date.now();
+    /** Limits the rate of rounds to the configured mean interval; allows `burstWrites` at once after an idle period. */
+    async function waitForRate(): Promise<void> {
+        const waitMs = rateLimitedUntilMs - settings.burstWrites * settings.minWriteIntervalMs - Date.now();
         if (waitMs > 0) {
             await pause(waitMs);
         }
-        pacedUntilMs = Math.max(pacedUntilMs, Date.now()) + settings.minWriteIntervalMs;
+        rateLimitedUntilMs = Math.max(rateLimitedUntilMs, Date.now()) + settings.minWriteIntervalMs;
     }
 
-    async function answerLookups(asked: readonly PendingLookup[]): Promise<void> {
-        const isRead = !isPaused() && await store.read();
+    async function answerLookups(pendingLookups: readonly PendingLookup[]): Promise<void> {
+        const isRead = !isBackingOff() && await store.read();
         if (!isRead) {
-            holdOff();
+            backOff();
         }
-        asked.forEach(({ hash, resolve }) =>
-            resolve(isRead ? find(hash) ?? { kind: "free" } : { kind: "unavailable" })
+        pendingLookups.forEach(({ hash, resolve }) =>
+            resolve(isRead ? findCached(hash) ?? { kind: "free" } : { kind: "unavailable" })
         );
     }
 
-    /** Settles what is known already; gives what has to be written, one claim for each key. */
-    function settleKnown(batch: readonly PendingClaim[]): PendingClaim[] {
+    /** Resolves the claims that the cached bucket decides, and returns the others, which have to be written. */
+    function resolveDecided(batch: readonly PendingClaim[]): PendingClaim[] {
         const open: PendingClaim[] = [];
         for (const pending of batch) {
-            const known = decide(pending.claim);
+            const known = decideFromCache(pending.claim);
             if (known === undefined) {
                 open.push(pending);
             }
@@ -152,18 +154,18 @@
     }
 
     async function commitBatch(batch: readonly PendingClaim[]): Promise<void> {
-        if (isPaused()) {
+        if (isBackingOff()) {
             resolveAll(batch, { kind: "unavailable" });
             return;
         }
         let open: PendingClaim[] = [...batch];
-        let isSeen = Number.isFinite(store.seenAtMs());
+        let isCacheCurrent = Number.isFinite(store.seenAtMs());
         while (open.length > 0) {
-            if (!isSeen && !(await store.read())) {
-                giveUp(open);
+            if (!isCacheCurrent && !(await store.read())) {
+                failUnavailable(open);
                 return;
             }
-            open = settleKnown(open);
+            open = resolveDecided(open);
             if (open.length === 0) {
                 return;
             }
@@ -171,91 +173,104 @@
             switch (result) {
                 case "written":
                 case "moved":
-                    isSeen = true;
+                    isCacheCurrent = true;
                     break;
                 case "lost":
-                    // The write may have taken effect unseen, or may still do so: only reading again, and writing
-                    // again against the same revision, tells which. Until then nobody is told "granted".
-                    isSeen = false;
-                    await pause(lostAnswerPauseMs);
+                    // The write may have taken effect, or may still do so. Only another read, and another write
+                    // against the same revision, shows which; until then no claim is resolved as "granted".
+                    isCacheCurrent = false;
+                    await pause(lostAnswerDelayMs);
                     break;
                 case "unavailable":
-                    giveUp(open);
+                    failUnavailable(open);
                     return;
                 case "full":
                     resolveAll(open, { kind: "full" });
                     return;
             }
-            open = withoutOverdue(open);
+            open = dropTimedOut(open);
         }
     }
 
+    /**
+     * Writes one claim for each key, with the pending marks; other claims of the same key are decided after the write.
+     */
     async function writeClaims(open: readonly PendingClaim[]): Promise<WriteResult> {
         const byHash = new Map<string, ClaimRequest>();
         open.forEach(({ claim }) => byHash.has(claim.hash) || byHash.set(claim.hash, claim));
-        const due = [...marks];
-        const result = await store.write([...byHash.values()], due.filter(isHolder).map(({ hash }) => hash));
+        const pendingMarks = [...marks];
+        const result = await store.write(
+            [...byHash.values()],
+            pendingMarks.filter(isUnmarkedHolder).map(({ hash }) => hash),
+        );
         if (result === "written") {
-            marks.splice(0, due.length);
+            marks.splice(0, pendingMarks.length);
         }
         return result;
     }
 
-    /** A mark for a claim that never became durable would later be read as one for another attempt's claim. */
-    function isHolder({ hash, boot, number }: Mark): boolean {
-        const found = find(hash);
+    /**
+     * Whether the marked attempt holds its claim and is not marked yet. A mark for a claim that never became durable
+     * would later be read as the mark of another attempt's claim.
+     */
+    function isUnmarkedHolder({ hash, boot, number }: Mark): boolean {
+        const found = findCached(hash);
         return found !== undefined && found.boot === boot && found.number === number && !found.isNotRun;
     }
 
-    function giveUp(open: readonly PendingClaim[]): void {
-        holdOff();
+    function failUnavailable(open: readonly PendingClaim[]): void {
+        backOff();
         resolveAll(open, { kind: "unavailable" });
     }
 
-    function withoutOverdue(open: readonly PendingClaim[]): PendingClaim[] {
+    /** Resolves claims that have timed out undecided as "unavailable", and returns the others. */
+    function dropTimedOut(open: readonly PendingClaim[]): PendingClaim[] {
         const now = Date.now();
-        resolveAll(open.filter(({ claim, endAtMs }) => now >= endAtMs && decide(claim) === undefined), {
-            kind: "unavailable",
-        });
-        return open.filter(({ claim, endAtMs }) => now < endAtMs || decide(claim) !== undefined);
+        resolveAll(
+            open.filter(({ claim, timeoutAtMs }) => now >= timeoutAtMs && decideFromCache(claim) === undefined),
+            {
+                kind: "unavailable",
+            },
+        );
+        return open.filter(({ claim, timeoutAtMs }) => now < timeoutAtMs || decideFromCache(claim) !== undefined);
     }
 
     return {
         commit(claim) {
-            const known = decide(claim);
+            const known = decideFromCache(claim);
             if (known !== undefined && Number.isFinite(store.seenAtMs())) {
                 return Promise.resolve(known);
             }
             return new Promise((resolve) => {
-                claims.push({ claim, endAtMs: Date.now() + settings.claimTimeoutMs, resolve });
-                wake();
+                claims.push({ claim, timeoutAtMs: Date.now() + settings.claimTimeoutMs, resolve });
+                startIfIdle();
             });
         },
         mark(mark) {
-            if (marks.length < maxWaitingMarks && !marks.some(({ hash }) => hash === mark.hash)) {
+            if (marks.length < maxPendingMarks && !marks.some(({ hash }) => hash === mark.hash)) {
                 marks.push(mark);
             }
         },
         lookup(hash, isFresh) {
-            const known = find(hash);
+            const known = findCached(hash);
             if (known !== undefined) {
                 return Promise.resolve(known);
             }
             if (!isFresh && Date.now() - store.seenAtMs() < settings.lookupCacheMs) {
                 return Promise.resolve({ kind: "free" });
             }
-            if (isPaused()) {
+            if (isBackingOff()) {
                 return Promise.resolve({ kind: "unavailable" });
             }
             return new Promise((resolve) => {
                 lookups.push({ hash, resolve });
-                wake();
+                startIfIdle();
             });
         },
         size: () => store.index.size(),
     };
 }
 
-function resolveAll(open: readonly PendingClaim[], result: ClaimResult): void {
-    open.forEach(({ resolve }) => resolve(result));
+function resolveAll(pending: readonly PendingClaim[], result: ClaimResult): void {
+    pending.forEach(({ resolve }) => resolve(result));
 }
--- a/src/once/createBucketStore.ts
+++ b/src/once/createBucketStore.ts
@@ -4,21 +4,24 @@
 import { type ClaimIndex, createClaimIndex } from "./createClaimIndex";
 
 /**
- * How one write went.
+ * Result of one write.
  *
- * - `moved`: another home wrote first; decide again on what is there now.
- * - `lost`: the answer was lost; read again, the write may have taken effect or may still do so.
+ * - `moved`: another committer wrote first; the caller decides again from the current value.
+ * - `lost`: the answer was lost; the write may have taken effect or may still do so, so the caller reads again.
  */
 export type WriteResult = "written" | "moved" | "lost" | "unavailable" | "full";
 
-/** One bucket's value with its sealed segments, as this entry last saw them. */
+/** One bucket's head and sealed segments, as this entry last read or wrote them. */
 export interface BucketStore {
     readonly index: ClaimIndex;
-    /** When the bucket was last read or written, in milliseconds of this entry's clock. */
+    /**
+     * When the bucket was last read or written, in milliseconds of this entry's clock; `-Infinity` if it has to be
+     * read.
+     */
     seenAtMs(): number;
-    /** Reads the head and the sealed segments not loaded yet; gives false where that failed. */
+    /** Reads the head and those sealed segments that are not loaded yet; returns false if that failed. */
     read(): Promise<boolean>;
-    /** Adds claims by compare-and-swap against the head that was last seen. */
+    /** Adds claims and marks by compare-and-swap against the head that was last read or written. */
     write(claims: readonly ClaimRequest[], marks: readonly string[]): Promise<WriteResult>;
 }
 
@@ -28,7 +31,7 @@
     readonly bucket: number;
 }
 
-const openName = "open";
+const openSegmentName = "open";
 
 export function createBucketStore(opts: BucketStoreOptions): BucketStore {
     const { platform, settings } = opts;
@@ -36,15 +39,17 @@
     const index = createClaimIndex();
     let head: BucketHead = emptyHead;
     let revision = 0;
-    let seenAt = -Infinity;
+    let syncedAt = -Infinity;
 
     function slotKey(slot: number): string {
         return `${headKey}/${slot}`;
     }
 
-    /** Takes a head in; false where it or one of its segments cannot be read now. */
-    async function adopt(stored: StoredValue | undefined): Promise<boolean> {
-        seenAt = -Infinity;
+    /**
+     * Applies a head that was read; returns false if it is outdated, or if it or one of its segments cannot be read.
+     */
+    async function applyRead(stored: StoredValue | undefined): Promise<boolean> {
+        syncedAt = -Infinity;
         if ((stored?.revision ?? 0) < revision) {
             return false;
         }
@@ -54,15 +59,17 @@
         }
         head = next;
         revision = stored?.revision ?? 0;
-        index.put(openName, next);
-        seenAt = Date.now();
+        index.put(openSegmentName, next);
+        syncedAt = Date.now();
         return true;
     }
 
     async function loadSegments(next: BucketHead): Promise<boolean> {
-        const wanted = new Map(next.sealed.map((sealed) => [segmentName(sealed), sealed.slot]));
-        index.names().filter((name) => name !== openName && !wanted.has(name)).forEach((name) => index.remove(name));
-        for (const [name, slot] of wanted) {
+        const slotsByName = new Map(next.sealed.map((sealed) => [segmentName(sealed), sealed.slot]));
+        index.names().filter((name) => name !== openSegmentName && !slotsByName.has(name)).forEach((name) =>
+            index.remove(name)
+        );
+        for (const [name, slot] of slotsByName) {
             if (index.has(name)) {
                 continue;
             }
@@ -77,15 +84,15 @@
     }
 
     function withoutExpired(current: BucketHead): BucketHead {
-        const keptSinceMs = Date.now() - settings.retentionMs;
-        return { ...current, sealed: current.sealed.filter(({ sealedAtMs }) => sealedAtMs >= keptSinceMs) };
+        const oldestKeptAtMs = Date.now() - settings.retentionMs;
+        return { ...current, sealed: current.sealed.filter(({ sealedAtMs }) => sealedAtMs >= oldestKeptAtMs) };
     }
 
     /**
-     * Moves the open segment into a free slot. The slot is written against the revision that the head records for it:
-     * a home that was paused since would otherwise overwrite a segment that a newer head names, and the claims in
-     * it would be forgotten. What is written depends on the head alone, so that another home that seals at the same
-     * time writes the same text.
+     * Moves the open segment into a free slot. The slot is written by compare-and-swap against the revision that the
+     * head records for it. Otherwise a committer that was paused meanwhile could overwrite a segment that a newer head
+     * refers to, and the claims in that segment would be lost. The written text depends on the head alone, so another
+     * committer that seals the same head at the same time writes the same text.
      */
     async function seal(current: BucketHead): Promise<BucketHead | WriteResult> {
         const used = new Set(current.sealed.map(({ slot }) => slot));
@@ -94,8 +101,8 @@
             return "full";
         }
         const text = JSON.stringify({ boots: current.boots, records: current.records });
-        const known = current.slotRevisions[slot] ?? 0;
-        const written = await writeSlot(slot, known, text);
+        const expectedRevision = current.slotRevisions[slot] ?? 0;
+        const written = await writeSlot(slot, expectedRevision, text);
         if (typeof written === "string") {
             return written;
         }
@@ -119,27 +126,28 @@
         if (failure.current?.text === text) {
             return failure.current.revision;
         }
-        // A home that died between the slot and the head left its text here, unless the head has moved on.
-        const fresh = await platform.read(headKey);
-        const isSameHead = fresh.isRight() && (fresh.orDefault(undefined)?.revision ?? 0) === revision;
+        // If the head is unchanged, the text in the slot is from a committer that died after it wrote the slot and
+        // before it wrote the head, and may be overwritten.
+        const currentHead = await platform.read(headKey);
+        const isSameHead = currentHead.isRight() && (currentHead.orDefault(undefined)?.revision ?? 0) === revision;
         if (!isSameHead || failure.current === undefined) {
             return "moved";
         }
-        const again = await platform.compareAndSwap(slotKey(slot), failure.current.revision, text);
-        return again.isRight() ? again.orDefault(0) : "moved";
+        const retried = await platform.compareAndSwap(slotKey(slot), failure.current.revision, text);
+        return retried.isRight() ? retried.orDefault(0) : "moved";
     }
 
     async function swapHead(next: BucketHead): Promise<WriteResult> {
         const written = await platform.compareAndSwap(headKey, revision, JSON.stringify(next));
         return written.caseOf<WriteResult | Promise<WriteResult>>({
             Right(newRevision) {
-                adoptOwn(next, newRevision);
+                applyWritten(next, newRevision);
                 return "written";
             },
             Left(failure) {
                 switch (failure.kind) {
                     case "conflict":
-                        return adopt(failure.current).then((isRead) => isRead ? "moved" : "unavailable");
+                        return applyRead(failure.current).then((isRead) => isRead ? "moved" : "unavailable");
                     case "unavailable":
                         return "unavailable";
                     case "unknown":
@@ -151,28 +159,30 @@
         });
     }
 
-    function adoptOwn(next: BucketHead, newRevision: number): void {
+    function applyWritten(next: BucketHead, newRevision: number): void {
         const kept = new Set(next.sealed.map(segmentName));
-        index.names().filter((name) => name !== openName && !kept.has(name)).forEach((name) => index.remove(name));
-        const added = next.sealed.map(segmentName).find((name) => !index.has(name));
-        if (added !== undefined) {
-            index.put(openName, next);
-            index.put(added, head);
+        index.names().filter((name) => name !== openSegmentName && !kept.has(name)).forEach((name) =>
+            index.remove(name)
+        );
+        const newlySealed = next.sealed.map(segmentName).find((name) => !index.has(name));
+        if (newlySealed !== undefined) {
+            index.put(openSegmentName, next);
+            index.put(newlySealed, head);
         }
         else {
-            index.put(openName, next);
+            index.put(openSegmentName, next);
         }
         head = next;
         revision = newRevision;
-        seenAt = Date.now();
+        syncedAt = Date.now();
     }
 
     return {
         index,
-        seenAtMs: () => seenAt,
+        seenAtMs: () => syncedAt,
         async read() {
             const read = await platform.read(headKey);
-            return read.isRight() && adopt(read.orDefault(undefined));
+            return read.isRight() && applyRead(read.orDefault(undefined));
         },
         async write(claims, marks) {
             const current = withoutExpired(head);
--- a/src/once/createClaimIndex.ts
+++ b/src/once/createClaimIndex.ts
@@ -1,9 +1,9 @@
 import type { Segment, StoredClaim } from "./claimValue";
 
-/** The claims of one bucket, by hash, with the segment that each came from. */
+/** Index of one bucket's claims by hash, and of the hashes that each segment holds. */
 export interface ClaimIndex {
     find(hash: string): { readonly claim: StoredClaim; readonly isNotRun: boolean; } | undefined;
-    /** Puts a segment in; the same name again replaces what it held. */
+    /** Adds the claims of a segment; replaces those of an earlier segment of the same name. */
     put(name: string, segment: Segment): void;
     remove(name: string): void;
     has(name: string): boolean;
--- a/src/once/createClaims.ts
+++ b/src/once/createClaims.ts
@@ -20,7 +20,7 @@
     readonly settings: BucketSettings;
 }
 
-/** Durable claims, wherever their bucket's home is. */
+/** Durable claims of all buckets, whichever entry commits them. */
 export interface Claims {
     commit(claim: ClaimRequest): Promise<ClaimResult>;
     lookup(hash: string, isFresh: boolean): Promise<LookupResult>;
@@ -29,72 +29,72 @@
     size(): number;
 }
 
-/** How long another entry may take over a claim or a lookup before this entry does it itself, in milliseconds. */
-const homeTimeoutMs = 1500;
+/** Timeout of a claim or lookup at another entry, after which this entry does it itself, in milliseconds. */
+const committerTimeoutMs = 1500;
 
-/** Sends each claim to its bucket's home, and does the home's work where that cannot. */
+/** Sends each claim to its bucket's committer; commits it in this entry if that one does not answer. */
 export function createClaims(opts: ClaimsOptions): Claims {
     const { peers, settings } = opts;
-    const homes = new Map<number, BucketHome>();
+    const localCommitters = new Map<number, BucketHome>();
 
-    function homeHere(hash: string): BucketHome {
+    function localCommitter(hash: string): BucketHome {
         const bucket = bucketOf(hash, settings.buckets);
-        const home = homes.get(bucket) ?? createBucketHome(opts.platform, settings, bucket);
-        homes.set(bucket, home);
-        return home;
+        const committer = localCommitters.get(bucket) ?? createBucketHome(opts.platform, settings, bucket);
+        localCommitters.set(bucket, committer);
+        return committer;
     }
 
-    function findHome(hash: string): string {
+    function findCommitterBoot(hash: string): string {
         const boots = [peers.self, ...peers.connected()].map(({ boot }) => boot);
         return chooseHome(bucketOf(hash, settings.buckets), boots);
     }
 
     peers.onRequest(topics.claim, async (_from, body) => {
         const parsed = claimMessageSchema.safeParse(body);
-        return parsed.success ? homeHere(parsed.data.hash).commit(parsed.data) : { kind: "unavailable" };
+        return parsed.success ? localCommitter(parsed.data.hash).commit(parsed.data) : { kind: "unavailable" };
     });
     peers.onRequest(topics.lookup, async (_from, body) => {
         const parsed = lookupMessageSchema.safeParse(body);
         return parsed.success
-            ? homeHere(parsed.data.hash).lookup(parsed.data.hash, parsed.data.isFresh)
+            ? localCommitter(parsed.data.hash).lookup(parsed.data.hash, parsed.data.isFresh)
             : { kind: "unavailable" };
     });
     peers.onMessage(topics.mark, (_from, body) => {
         const parsed = markMessageSchema.safeParse(body);
         if (parsed.success) {
-            homeHere(parsed.data.hash).mark(parsed.data);
+            localCommitter(parsed.data.hash).mark(parsed.data);
         }
     });
 
     return {
         async commit(claim) {
-            const boot = findHome(claim.hash);
+            const boot = findCommitterBoot(claim.hash);
             if (boot !== peers.self.boot) {
-                const answer = await peers.request(boot, topics.claim, claim, homeTimeoutMs);
+                const answer = await peers.request(boot, topics.claim, claim, committerTimeoutMs);
                 const result = claimResultSchema.safeParse(answer.orDefault(undefined)).data;
                 if (result !== undefined && result.kind !== "unavailable") {
                     return result;
                 }
             }
-            return homeHere(claim.hash).commit(claim);
+            return localCommitter(claim.hash).commit(claim);
         },
         async lookup(hash, isFresh) {
-            const boot = findHome(hash);
+            const boot = findCommitterBoot(hash);
             if (boot !== peers.self.boot) {
-                const answer = await peers.request(boot, topics.lookup, { hash, isFresh }, homeTimeoutMs);
+                const answer = await peers.request(boot, topics.lookup, { hash, isFresh }, committerTimeoutMs);
                 const result = lookupResultSchema.safeParse(answer.orDefault(undefined)).data;
                 if (result !== undefined && result.kind !== "unavailable") {
                     return result;
                 }
             }
-            return homeHere(hash).lookup(hash, isFresh);
+            return localCommitter(hash).lookup(hash, isFresh);
         },
         mark(mark) {
-            const boot = findHome(mark.hash);
+            const boot = findCommitterBoot(mark.hash);
             if (boot === peers.self.boot || !peers.send(boot, topics.mark, mark)) {
-                homeHere(mark.hash).mark(mark);
+                localCommitter(mark.hash).mark(mark);
             }
         },
-        size: () => [...homes.values()].reduce((sum, home) => sum + home.size(), 0),
+        size: () => [...localCommitters.values()].reduce((sum, committer) => sum + committer.size(), 0),
     };
 }
--- a/src/once/createMemory.ts
+++ b/src/once/createMemory.ts
@@ -1,54 +1,58 @@
 import type { TaskEnd } from "../tasks";
 import type { Holder } from "./claimValue";
 
-/** One key's run at this boot, from its admission to its end. */
+/** One attempt to run a key at this boot, from its admission on. */
 export interface Run {
     readonly hash: string;
-    /** This boot's number for the attempt. */
+    /** Number of the attempt, unique within this boot. */
     readonly number: number;
     readonly fingerprint: string;
-    /** Set once the claim is asked for; a claim that was asked for may stand at the platform. */
+    /**
+     * Whether the claim has been requested; a requested claim may be durable on the platform even if no answer came.
+     */
     isClaimSent: boolean;
     isGranted: boolean;
-    /** The attempt that holds the key instead of this one. */
+    /** The other attempt that holds the key, if this one's claim was rejected. */
     takenBy: (Holder & { readonly fingerprint: string; readonly isNotRun: boolean; }) | undefined;
     end: TaskEnd | undefined;
     readonly ended: Promise<TaskEnd>;
     finish(end: TaskEnd): void;
 }
 
-/** How the run ended: at once where it has, and with what is still kept of it. */
+/**
+ * Waits for the end of the run. If it has ended, returns the stored end, from which the answer may have been evicted.
+ */
 export async function waitForEnd(run: Run): Promise<TaskEnd> {
     return run.end ?? run.ended;
 }
 
 export interface MemoryOptions {
-    /** Most runs that are remembered; the oldest that have ended are forgotten first. */
+    /** Maximum number of runs kept; the runs that ended first are evicted first. */
     readonly maxRuns: number;
-    /** Most bytes of answers that are remembered. */
+    /** Maximum total length of the answers kept, in characters. */
     readonly maxAnswerBytes: number;
-    /** How long the end of a run is remembered, in milliseconds. */
+    /** How long an ended run is kept, in milliseconds. */
     readonly keptMs: number;
     /**
-     * False where this memory is all that stops a second run: then no run is forgotten before its time, and new ones
-     * are turned away instead.
+     * Whether a run may be evicted before its retention is over. Must be false if this table alone prevents a second
+     * run of a key; new runs are then refused while the table is full.
      */
     readonly mayForgetEarly: boolean;
-    /** What is said of a run whose answer is no longer kept. */
+    /** End that replaces the end of a run whose answer was evicted. */
     readonly forgottenAnswer: TaskEnd;
 }
 
-/** What this boot knows of the keys that it handled, bounded in count, bytes and age. */
+/** Runs of the keys that this boot has handled, bounded in number, length of answers and age. */
 export interface Memory {
     findByHash(hash: string): Run | undefined;
     findByNumber(number: number): Run | undefined;
-    /** Gives `undefined` where as many runs as may be remembered are under way. */
+    /** Adds a run; returns `undefined` if the table is full and no run may be evicted. */
     begin(hash: string, fingerprint: string): Run | undefined;
-    /** Keeps the end for later requests with the key; those that wait now are told `told`. */
-    finish(run: Run, end: TaskEnd, told?: TaskEnd): void;
-    /** Lets the key be sent again, while the run is still found by its number. */
+    /** Stores the end for later requests with the key; requests that wait for it now get `endForWaiting`. */
+    finish(run: Run, end: TaskEnd, endForWaiting?: TaskEnd): void;
+    /** Allows a new run of the key; this run can still be found by its number. */
     release(run: Run): void;
-    /** Ends a run of which nothing has to be known, so that the key may be sent again. */
+    /** Ends and removes a run whose end need not be kept; allows a new run of the key. */
     discard(run: Run, end: TaskEnd): void;
     size(): number;
     answerBytes(): number;
@@ -57,55 +61,58 @@
 export function createMemory(opts: MemoryOptions): Memory {
     const byNumber = new Map<number, Run>();
     const byHash = new Map<string, Run>();
-    /** Ended runs in the order of their ends. */
+    /** End times of ended runs by number, in the order in which they ended. */
     const endedAtMs = new Map<number, number>();
     let nextNumber = 1;
-    let bytes = 0;
+    let answerChars = 0;
 
-    function sizeOf(run: Run): number {
+    function answerCharsOf(run: Run): number {
         return run.end?.kind === "answered" ? run.end.body.length : 0;
     }
 
-    function forget(run: Run): void {
+    function remove(run: Run): void {
         byNumber.delete(run.number);
         endedAtMs.delete(run.number);
-        bytes -= sizeOf(run);
+        answerChars -= answerCharsOf(run);
         if (byHash.get(run.hash) === run) {
             byHash.delete(run.hash);
         }
     }
 
-    function forgetOldest(): boolean {
+    function evictOldest(): boolean {
         const oldest = endedAtMs.keys().next();
         const run = oldest.done === true ? undefined : byNumber.get(oldest.value);
         if (run !== undefined) {
-            forget(run);
+            remove(run);
         }
         return run !== undefined;
     }
 
-    /** Ages are told by the monotonic clock: were the time of day set back, a used ticket could be valid again. */
-    function trim(): void {
-        const keptSinceMs = performance.now() - opts.keptMs;
+    /**
+     * Removes expired runs. Ages are measured by the monotonic clock: if the wall clock were used and set back, a used
+     * ticket could be valid again.
+     */
+    function removeExpired(): void {
+        const oldestKeptAtMs = performance.now() - opts.keptMs;
         for (const [number, atMs] of endedAtMs) {
             const run = byNumber.get(number);
-            if (run === undefined || atMs >= keptSinceMs) {
+            if (run === undefined || atMs >= oldestKeptAtMs) {
                 break;
             }
-            forget(run);
+            remove(run);
         }
-        dropAnswers();
+        evictAnswers();
     }
 
-    /** Drops the oldest answers, but not that their runs have been, until the rest fits. */
-    function dropAnswers(): void {
+    /** Evicts the oldest answers until the rest fits; the runs themselves are kept. */
+    function evictAnswers(): void {
         for (const number of endedAtMs.keys()) {
-            if (bytes <= opts.maxAnswerBytes) {
+            if (answerChars <= opts.maxAnswerBytes) {
                 return;
             }
             const run = byNumber.get(number);
             if (run?.end?.kind === "answered") {
-                bytes -= sizeOf(run);
+                answerChars -= answerCharsOf(run);
                 run.end = opts.forgottenAnswer;
             }
         }
@@ -115,8 +122,8 @@
         findByHash: (hash) => byHash.get(hash),
         findByNumber: (number) => byNumber.get(number),
         begin(hash, fingerprint) {
-            trim();
-            if (byNumber.size >= opts.maxRuns && !(opts.mayForgetEarly && forgetOldest())) {
+            removeExpired();
+            if (byNumber.size >= opts.maxRuns && !(opts.mayForgetEarly && evictOldest())) {
                 return undefined;
             }
             let finish: (end: TaskEnd) => void = () => {};
@@ -138,12 +145,12 @@
             byHash.set(hash, run);
             return run;
         },
-        finish(run, end, told = end) {
+        finish(run, end, endForWaiting = end) {
             run.end = end;
-            bytes += sizeOf(run);
+            answerChars += answerCharsOf(run);
             endedAtMs.set(run.number, performance.now());
-            run.finish(told);
-            trim();
+            run.finish(endForWaiting);
+            removeExpired();
         },
         release(run) {
             if (byHash.get(run.hash) === run) {
@@ -151,11 +158,11 @@
             }
         },
         discard(run, end) {
-            forget(run);
+            remove(run);
             run.end = end;
             run.finish(end);
         },
         size: () => byNumber.size,
-        answerBytes: () => bytes,
+        answerBytes: () => answerChars,
     };
 }
--- a/src/once/createOnce.ts
+++ b/src/once/createOnce.ts
@@ -25,13 +25,13 @@
     readonly limits?: OnceLimits;
 }
 
-/** Bounds of what one entry keeps in memory. */
+/** Limits of what one entry keeps in memory. */
 export interface OnceLimits {
-    /** Keys that callers chose; their claims are durable, so that the oldest may be forgotten. */
+    /** Maximum runs of keys that callers chose; their claims are durable, so the oldest runs may be evicted. */
     readonly maxKeyRuns: number;
-    /** Used tickets; none is forgotten before it has expired. */
+    /** Maximum runs of tickets; none is evicted before its ticket has expired. */
     readonly maxTicketRuns: number;
-    /** Characters of answers kept for each of the two. */
+    /** Maximum total length of answers kept, in characters, for runs of chosen keys and of tickets each. */
     readonly maxAnswerBytes: number;
     readonly keptMs: number;
     readonly ticketLifetimeMs: number;
@@ -45,38 +45,43 @@
     ticketLifetimeMs: 600_000,
 };
 
-const askWaitMs = 5000;
+const outcomeLongPollMs = 5000;
 const unreachableMs = 3000;
 
-/** Claims keys that callers chose at the platform, and keeps this entry's own tickets in memory. */
+/** Claims keys that callers chose on the platform, and tracks the tickets that this entry issued in memory. */
 export function createOnce(opts: OnceOptions): Once {
     const { boot, peers, members } = opts;
     const limits = opts.limits ?? defaultOnceLimits;
     const claims = createClaims({ platform: opts.platform, peers, settings: opts.buckets ?? defaultBucketSettings });
     const tickets = createTickets({ boot, lifetimeMs: limits.ticketLifetimeMs });
-    const forwarder = createTicketForwarder({ peers, members, askWaitMs, unreachableMs });
-    const askHolder = createHolderAsker({ peers, members, askWaitMs, unreachableMs });
-    const kept = { maxAnswerBytes: limits.maxAnswerBytes, forgottenAnswer: onceEnds.answerNotKept() };
-    const keyRuns = createMemory({ ...kept, maxRuns: limits.maxKeyRuns, keptMs: limits.keptMs, mayForgetEarly: true });
+    const forwarder = createTicketForwarder({ peers, members, askWaitMs: outcomeLongPollMs, unreachableMs });
+    const queryHolder = createHolderAsker({ peers, members, askWaitMs: outcomeLongPollMs, unreachableMs });
+    const answerLimits = { maxAnswerBytes: limits.maxAnswerBytes, forgottenAnswer: onceEnds.answerNotKept() };
+    const keyRuns = createMemory({
+        ...answerLimits,
+        maxRuns: limits.maxKeyRuns,
+        keptMs: limits.keptMs,
+        mayForgetEarly: true,
+    });
     const ticketRuns = createMemory({
-        ...kept,
+        ...answerLimits,
         maxRuns: limits.maxTicketRuns,
         keptMs: limits.ticketLifetimeMs,
         mayForgetEarly: false,
     });
 
-    function memoryOf(claim: Claim): Memory {
+    function tableOf(claim: Claim): Memory {
         return readTicketBoot(claim.idempotencyKey) === undefined ? keyRuns : ticketRuns;
     }
 
-    /** Joins a run of the key at this entry, or begins one. */
-    function beginRun(memory: Memory, request: TaskRequest, hash: string): Run | Promise<TaskEnd> {
+    /** Begins a run of the key at this entry, or waits for the end of the existing one. */
+    function beginRun(table: Memory, request: TaskRequest, hash: string): Run | Promise<TaskEnd> {
         const fingerprint = fingerprintRequest(request);
-        const known = memory.findByHash(hash);
-        if (known !== undefined) {
-            return known.fingerprint === fingerprint ? waitForEnd(known) : Promise.resolve(onceEnds.reused());
+        const existing = table.findByHash(hash);
+        if (existing !== undefined) {
+            return existing.fingerprint === fingerprint ? waitForEnd(existing) : Promise.resolve(onceEnds.reused());
         }
-        return memory.begin(hash, fingerprint) ?? Promise.resolve(onceEnds.memoryFull());
+        return table.begin(hash, fingerprint) ?? Promise.resolve(onceEnds.memoryFull());
     }
 
     async function admitKey(request: TaskRequest, key: string, signal: AbortSignal): Promise<Admission> {
@@ -99,10 +104,10 @@
         }
     }
 
-    async function admitTicket(request: TaskRequest, ticket: string, home: string, signal: AbortSignal) {
+    async function admitTicket(request: TaskRequest, ticket: string, issuer: string, signal: AbortSignal) {
         const hash = hashKey(request.team, ticket);
-        if (home !== boot) {
-            return { kind: "ended", end: await forwarder.forward(request, hash, home, signal) } as const;
+        if (issuer !== boot) {
+            return { kind: "ended", end: await forwarder.forward(request, hash, issuer, signal) } as const;
         }
         const check = tickets.check(request.team, ticket);
         if (check === "forged") {
@@ -117,7 +122,7 @@
             : { kind: "run", claim: { team: request.team, idempotencyKey: ticket, number: run.number } } as const;
     }
 
-    /** Ends this entry's attempt with what the attempt that holds the key came to. */
+    /** Ends this entry's attempt with the end of the attempt that holds the key. */
     async function endWithHolder(run: Run, taken: TakenClaim, signal: AbortSignal): Promise<TaskEnd> {
         const end = await findHolderEnd(run, taken, signal);
         keyRuns.discard(run, end);
@@ -137,7 +142,7 @@
                 ? onceEnds.holderLost("this entry no longer knows how the task ended")
                 : waitForEnd(holder);
         }
-        return askHolder({ boot: taken.boot, hash: run.hash, number: taken.number }, signal);
+        return queryHolder({ boot: taken.boot, hash: run.hash, number: taken.number }, signal);
     }
 
     async function claimRun(run: Run): Promise<Problem | undefined> {
@@ -164,19 +169,19 @@
         }
     }
 
-    /** The end of an attempt that was never granted: only another look at the claims says what is true of the key. */
+    /** Ends an attempt whose claim was never granted; only another lookup of the claims shows the state of the key. */
     async function settleUngranted(run: Run, end: TaskEnd, signal: AbortSignal): Promise<TaskEnd> {
         if (run.takenBy !== undefined) {
             return endWithHolder(run, { kind: "taken", ...run.takenBy }, signal);
         }
         if (run.isClaimSent) {
-            // The claim may become durable after all. The attempt is fenced: its number is never claimed again, and
-            // whoever finds the claim later and asks is told that it never ran.
+            // The claim may still become durable. The attempt is fenced: its number is never claimed again, and an
+            // entry that finds the claim later and queries this boot gets the answer that the attempt never ran.
             keyRuns.release(run);
-            const told = withUnknownHistory(end);
-            keyRuns.finish(run, onceEnds.spent(), told);
+            const reported = withUnknownHistory(end);
+            keyRuns.finish(run, onceEnds.spent(), reported);
             claims.mark({ hash: run.hash, boot, number: run.number });
-            return told;
+            return reported;
         }
         const found = await claims.lookup(run.hash, true);
         switch (found.kind) {
@@ -186,24 +191,24 @@
             case "taken":
                 return endWithHolder(run, found, signal);
             case "unavailable": {
-                const told = withUnknownHistory(end);
-                keyRuns.discard(run, told);
-                return told;
+                const reported = withUnknownHistory(end);
+                keyRuns.discard(run, reported);
+                return reported;
             }
         }
     }
 
-    function settleGranted(memory: Memory, run: Run, end: TaskEnd): TaskEnd {
+    function settleGranted(table: Memory, run: Run, end: TaskEnd): TaskEnd {
         if (!isNotRun(end)) {
-            memory.finish(run, end);
+            table.finish(run, end);
             return end;
         }
-        const told = withSpentHint(end);
-        memory.finish(run, told);
-        if (memory === keyRuns) {
+        const reported = withSpentHint(end);
+        table.finish(run, reported);
+        if (table === keyRuns) {
             claims.mark({ hash: run.hash, boot, number: run.number });
         }
-        return told;
+        return reported;
     }
 
     peers.onRequest(topics.ask, async (_from, body) => {
@@ -223,34 +228,34 @@
         issueTicket: (team) => tickets.issue(team),
         async admit(request, signal) {
             const key = request.idempotencyKey ?? request.id;
-            const home = readTicketBoot(key);
-            return home === undefined ? admitKey(request, key, signal) : admitTicket(request, key, home, signal);
+            const issuer = readTicketBoot(key);
+            return issuer === undefined ? admitKey(request, key, signal) : admitTicket(request, key, issuer, signal);
         },
         async claim(claim) {
-            const run = memoryOf(claim).findByNumber(claim.number);
+            const run = tableOf(claim).findByNumber(claim.number);
             if (run === undefined || run.end !== undefined) {
                 return createProblem("ALREADY_CLAIMED", "the attempt has ended");
             }
             if (run.isGranted) {
                 return undefined;
             }
-            if (memoryOf(claim) === ticketRuns) {
+            if (tableOf(claim) === ticketRuns) {
                 run.isGranted = true;
                 return undefined;
             }
             return claimRun(run);
         },
         async settle(claim, end, signal) {
-            const memory = memoryOf(claim);
-            const run = memory.findByNumber(claim.number);
+            const table = tableOf(claim);
+            const run = table.findByNumber(claim.number);
             if (run === undefined) {
                 return end;
             }
             if (run.isGranted) {
-                return settleGranted(memory, run, end);
+                return settleGranted(table, run, end);
             }
-            if (memory === ticketRuns) {
-                memory.discard(run, end);
+            if (table === ticketRuns) {
+                table.discard(run, end);
                 return end;
             }
             return settleUngranted(run, end, signal);
--- a/src/once/createTicketForwarder.ts
+++ b/src/once/createTicketForwarder.ts
@@ -11,46 +11,48 @@
 export interface TicketForwarderOptions {
     readonly peers: Peers;
     readonly members: Members;
-    /** How long a request waits at the home for the end, in milliseconds. */
+    /** How long the issuer may delay its answer to wait for the end (long poll), in milliseconds. */
     readonly askWaitMs: number;
-    /** How long a home may stay out of reach before the outcome counts as unknown, in milliseconds. */
+    /** How long an issuer may be unreachable before the outcome counts as unknown, in milliseconds. */
     readonly unreachableMs: number;
 }
 
-/** Room for the request's way, in milliseconds. */
-const wayMs = 2000;
-const retryPauseMs = 200;
+/** Time allowed for the network round trip on top of the long poll, in milliseconds. */
+const roundTripMs = 2000;
+const retryDelayMs = 200;
 
-/** Largest answer that is passed between entries; the rest of a link's frame is for what goes with it. */
+/**
+ * Longest answer that is sent between entries, in characters; the rest of a link's frame is for the fields around it.
+ */
 const maxForwardedChars = 1024 * 1024;
 
-/** Passes ticketed tasks to the entry that issued the ticket, and runs those that others pass to this one. */
+/** Forwards tasks with a ticket to the ticket's issuer, and runs those that other entries forward to this one. */
 export function createTicketForwarder(opts: TicketForwarderOptions) {
     const { peers, members } = opts;
-    const cancels = new Map<string, AbortController>();
-    let runHere: RunHere | undefined;
+    const abortControllers = new Map<string, AbortController>();
+    let runForwarded: RunHere | undefined;
 
-    /** Sends the task to its home again and again: the home joins a run of the same ticket, so that is safe. */
-    async function forward(request: TaskRequest, hash: string, home: string, signal: AbortSignal): Promise<TaskEnd> {
-        const onAbort = () => void peers.send(home, topics.cancel, { hash });
+    /** Sends the task to the issuer until it has ended; this is safe, as the issuer joins a run of the same ticket. */
+    async function forward(request: TaskRequest, hash: string, issuer: string, signal: AbortSignal): Promise<TaskEnd> {
+        const onAbort = () => void peers.send(issuer, topics.cancel, { hash });
         signal.addEventListener("abort", onAbort, { once: true });
-        let heardAtMs = performance.now();
+        let lastAnswerAtMs = performance.now();
         try {
-            while (!members.isGone(home)) {
+            while (!members.isGone(issuer)) {
                 const body = createMessage(request, opts.askWaitMs);
-                const sent = await peers.request(home, topics.run, body, opts.askWaitMs + wayMs);
+                const sent = await peers.request(issuer, topics.run, body, opts.askWaitMs + roundTripMs);
                 const answer = askAnswerSchema.safeParse(sent.orDefault(undefined)).data;
                 if (answer?.kind === "ended") {
                     return answer.end as TaskEnd;
                 }
                 if (answer?.kind === "running") {
-                    heardAtMs = performance.now();
+                    lastAnswerAtMs = performance.now();
                 }
-                else if (signal.aborted || performance.now() - heardAtMs > opts.unreachableMs) {
+                else if (signal.aborted || performance.now() - lastAnswerAtMs > opts.unreachableMs) {
                     return onceEnds.homeUnreachable();
                 }
                 else {
-                    await pause(retryPauseMs);
+                    await pause(retryDelayMs);
                 }
             }
         }
@@ -62,10 +64,11 @@
         );
     }
 
-    async function serve(body: unknown): Promise<unknown> {
+    async function handleRun(body: unknown): Promise<unknown> {
         const parsed = runMessageSchema.safeParse(body);
         if (
-            !parsed.success || runHere === undefined || readTicketBoot(parsed.data.idempotencyKey) !== peers.self.boot
+            !parsed.success || runForwarded === undefined
+            || readTicketBoot(parsed.data.idempotencyKey) !== peers.self.boot
         ) {
             return { kind: "unseen" };
         }
@@ -77,39 +80,54 @@
             repeatable: false,
             deadlineAtMs: Date.now() + remainingMs,
         };
-        const controller = cancels.get(hash) ?? new AbortController();
-        cancels.set(hash, controller);
-        const ended = runHere(request, controller.signal).then((end) => {
-            cancels.delete(hash);
+        const controller = abortControllers.get(hash) ?? new AbortController();
+        abortControllers.set(hash, controller);
+        const ended = runForwarded(request, controller.signal).then((end) => {
+            abortControllers.delete(hash);
             return { kind: "ended" as const, end: shrinkEnd(end) };
         });
         return Promise.race([ended, pause(waitMs).then(() => ({ kind: "running" as const }))]);
     }
 
-    peers.onRequest(topics.run, (_from, body) => serve(body));
+    peers.onRequest(topics.run, (_from, body) => handleRun(body));
     peers.onMessage(topics.cancel, (_from, body) => {
         const parsed = cancelMessageSchema.safeParse(body);
         if (parsed.success) {
-            cancels.get(parsed.data.hash)?.abort();
+            abortControllers.get(parsed.data.hash)?.abort();
         }
     });
 
     function createMessage(request: TaskRequest, waitMs: number) {
         const { id, team, keyId, pool, size, expectedRunMs, deadlineAtMs, urgent, idempotencyKey, payload } = request;
         const remainingMs = Math.max(0, deadlineAtMs - Date.now());
-        const known = keyId === undefined ? {} : { keyId };
-        return { id, team, ...known, pool, size, expectedRunMs, remainingMs, urgent, idempotencyKey, payload, waitMs };
+        const keyField = keyId === undefined ? {} : { keyId };
+        return {
+            id,
+            team,
+            ...keyField,
+            pool,
+            size,
+            expectedRunMs,
+            remainingMs,
+            urgent,
+            idempotencyKey,
+            payload,
+            waitMs,
+        };
     }
 
     return {
         forward,
         onForwarded(run: RunHere) {
-            runHere = run;
+            runForwarded = run;
         },
     };
 }
 
-/** An answer above a link's frame would break the link; its caller is told truly that there was one. */
+/**
+ * Replaces an answer that is too long to send: a message above a link's frame limit would break the link. The
+ * replacement states that the task ran and was answered.
+ */
 export function shrinkEnd(end: TaskEnd): TaskEnd {
     return end.kind === "answered" && end.body.length > maxForwardedChars ? onceEnds.answerNotKept() : end;
 }
--- a/src/once/createTickets.ts
+++ b/src/once/createTickets.ts
@@ -1,12 +1,12 @@
 import { createHmac, randomBytes, timingSafeEqual } from "node:crypto";
 
-/** An idempotency key that names its home: the boot that issued it and that alone may run it. */
+/** An idempotency key that names the boot which issued it; only that boot may run it. */
 export interface Ticket {
     /** The text to send as the idempotency key. */
     readonly ticket: string;
     /** The boot that issued it. */
     readonly boot: string;
-    /** How long it may be used, in milliseconds. */
+    /** How long it is valid, in milliseconds. */
     readonly lifetimeMs: number;
 }
 
@@ -27,7 +27,7 @@
 const secretBytes = 32;
 const nonceBytes = 12;
 
-/** Gives the boot that a ticket names; `undefined` for a key that is no ticket. */
+/** Returns the boot that a ticket names as its issuer, unverified; `undefined` for a key that is not a ticket. */
 export function readTicketBoot(idempotencyKey: string): string | undefined {
     const [kind, boot, issuedAt, nonce, mac, ...rest] = idempotencyKey.split("~");
     const isTicket = kind === prefix && boot !== undefined && issuedAt !== undefined && nonce !== undefined
@@ -36,8 +36,8 @@
 }
 
 /**
- * Issues tickets that this boot can recognise without remembering them: each carries a code made with a secret that
- * dies with the process. Times are of the monotonic clock, which nobody sets back.
+ * Issues tickets that this boot can verify without storing them: each carries a message authentication code (HMAC) made
+ * with a secret that exists only in this process. Times are from the monotonic clock, which cannot be set back.
  */
 export function createTickets(opts: TicketsOptions): Tickets {
     const secret = randomBytes(secretBytes);
--- a/src/once/index.ts
+++ b/src/once/index.ts
@@ -1,4 +1,4 @@
-/** Requests that may not be repeated: each idempotency key runs at most once in the whole fleet. */
+/** At-most-once execution of requests that must not be repeated, by idempotency key, across all entries of a fleet. */
 export { type BucketSettings, defaultBucketSettings } from "./bucketSettings";
 export { createOnce, defaultOnceLimits, type OnceLimits, type OnceOptions } from "./createOnce";
 export type { Ticket } from "./createTickets";
--- a/src/once/messages.ts
+++ b/src/once/messages.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { taskMessageSchema } from "../tasks";
 
-/** Topics of the messages between entries about claims and outcomes. */
+/** Topics of the messages between entries about claims, tickets and outcomes. */
 export const topics = {
     claim: "once.claim",
     lookup: "once.lookup",
@@ -34,7 +34,7 @@
     z.object({ kind: z.literal("unavailable") }),
 ]);
 
-/** Asks a boot how the attempt that holds a claim ended. */
+/** Asks the boot that holds a claim how the attempt ended; the answer may wait up to `waitMs` for the end. */
 export const askMessageSchema = z.object({
     hash,
     number: number.optional(),
@@ -62,7 +62,7 @@
 ]);
 export type AskAnswer = z.infer<typeof askAnswerSchema>;
 
-/** A ticketed task on its way to its home. */
+/** A task with a ticket, forwarded to the entry that issued the ticket. */
 export const runMessageSchema = taskMessageSchema.extend({
     idempotencyKey: z.string().max(512),
     waitMs: z.number().positive().max(60_000),
--- a/src/once/once.ts
+++ b/src/once/once.ts
@@ -2,42 +2,47 @@
 import type { TaskEnd, TaskRequest } from "../tasks";
 import type { Ticket } from "./createTickets";
 
-/** The right to run one idempotency key, held by one attempt of this entry alone. */
+/** Identifies one attempt of this entry to run the request with an idempotency key. */
 export interface Claim {
     readonly team: string;
     readonly idempotencyKey: string;
-    /** This boot's number for the attempt. */
+    /** Number of the attempt, unique within this boot (one run of the entry process). */
     readonly number: number;
 }
 
 /**
- * What may be done with a request that may not be repeated.
+ * How to proceed with a request that must not run twice.
  *
- * - `run`: this entry may go on; it has to call `claim` before anything is sent, and `settle` at the end.
- * - `ended`: the key has been used, or its home has run it; this is what is known of it.
+ * - `run`: this entry may run it; it must call `claim` before it sends anything to a worker, and `settle` at the end.
+ * - `ended`: this entry must not run it, and returns `end`: the key has been used, the ticket's issuer has run it, or
+ *   the request is refused.
  */
 export type Admission =
     | { readonly kind: "run"; readonly claim: Claim; }
     | { readonly kind: "ended"; readonly end: TaskEnd; };
 
-/** Runs a task that another entry has passed on to this one, the home of its ticket. */
+/** Runs a task that another entry has forwarded to this one, the issuer of its ticket. */
 export type RunHere = (request: TaskRequest, signal: AbortSignal) => Promise<TaskEnd>;
 
+/** Ensures that a request which must not be repeated runs at most once for each idempotency key. */
 export interface Once {
-    /** Issues a key that names this entry as its home; needs no call to the platform. */
+    /** Issues an idempotency key that only this entry may run; needs no call to the platform. */
     issueTicket(team: string): Ticket;
-    /** Finds what is known of the key; waits for a run that is under way, wherever it is. */
+    /** Looks the key up; where an attempt with this key is running, on this entry or another, waits for its end. */
     admit(request: TaskRequest, signal: AbortSignal): Promise<Admission>;
     /**
-     * Makes the claim durable; must succeed before the task is sent. A problem means that this attempt must not be
-     * sent, now or later. May be called again before a further send of the same attempt.
+     * Makes the claim durable; must succeed before the task is sent to a worker. If it returns a problem, this attempt
+     * must never be sent. May be called again before the same attempt is sent another time.
      */
     claim(claim: Claim): Promise<Problem | undefined>;
-    /** Records how the attempt ended and gives what its caller is told, which is another attempt's end where one won. */
+    /**
+     * Records how the attempt ended; returns the end for its caller, which is another attempt's if that one holds the
+     * key.
+     */
     settle(claim: Claim, end: TaskEnd, signal: AbortSignal): Promise<TaskEnd>;
-    /** Names what runs the tasks that come with this entry's tickets through other entries. */
+    /** Sets the function that runs tasks which other entries forward because this entry issued their tickets. */
     onForwarded(run: RunHere): void;
-    /** Claims, runs and bytes of answers held in memory. */
+    /** Number of claims, runs and characters of answers held in memory. */
     counts(): { readonly claims: number; readonly runs: number; readonly answerBytes: number; };
     start(): void;
     stop(): Promise<void>;
--- a/src/once/onceEnds.ts
+++ b/src/once/onceEnds.ts
@@ -1,25 +1,25 @@
 import { createProblem, Outcome, type Problem, type ProblemCode } from "../errors";
 import type { TaskEnd } from "../tasks";
 
-/** Seconds until a request refused for want of the platform is worth sending again. */
+/** Retry-After, in seconds, of a request refused because the platform or the ticket's issuer is unavailable. */
 const platformRetrySeconds = 2;
 
 const sendAgainHint = "Send it again with the same key after Retry-After: it cannot run twice. "
     + "A task with a ticket is taken without the platform.";
 
-/** What callers are told of a key; each says no more than this entry can know. */
+/** Ends that callers receive for a key; each claims no more than this entry can know. */
 export const onceEnds = {
-    /** The platform cannot be asked: nobody here can tell whether an earlier request with the key has run. */
+    /** The platform does not answer, so this entry cannot know whether an earlier request with the key has run. */
     platformSilent: () => {
         const detail = "this attempt was not sent to a worker; whether an earlier one with the same key was cannot be "
             + "told while the platform does not answer";
         const opts = { outcome: Outcome.Unknown, retryAfterSeconds: platformRetrySeconds };
         return end({ ...createProblem("PLATFORM_UNAVAILABLE", detail, opts), hint: sendAgainHint });
     },
-    /** The attempt that holds the key ended before it was sent, or was refused by the worker, for good. */
+    /** The attempt that holds the key ended without running; this is final, also for later requests with the key. */
     spent: () => problemEnd("ALREADY_CLAIMED", "the attempt that holds this key ended without running", Outcome.NotRun),
     reused: () => problemEnd("KEY_REUSED", "the key came before with other work", Outcome.NotRun),
-    /** The holder cannot be asked, or has forgotten. */
+    /** The attempt that holds the key cannot be queried, or its outcome is no longer stored. */
     holderLost: (detail: string) => problemEnd("OUTCOME_UNKNOWN", detail, Outcome.Unknown),
     homeUnreachable: () => {
         const detail = "the entry that issued the ticket cannot be reached; a used ticket cannot be told from an "
@@ -47,21 +47,24 @@
     return end(createProblem(code, detail, { outcome }));
 }
 
-/** True where the end says that the attempt has not run. */
+/** Whether the end states that the attempt has not run. */
 export function isNotRun(taskEnd: TaskEnd): boolean {
     return taskEnd.kind === "problem" && taskEnd.problem.outcome === Outcome.NotRun;
 }
 
-/** A claim that ended "not run" stays so: the hint must not invite the caller to send the same key again. */
+/**
+ * Removes Retry-After and replaces the hint of an end "not run". A claim that ended "not run" is final, so the hint
+ * must not invite the caller to send the same key again.
+ */
 export function withSpentHint(taskEnd: TaskEnd): TaskEnd {
     if (taskEnd.kind === "answered") {
         return taskEnd;
     }
-    const { retryAfterSeconds: _never, ...problem } = taskEnd.problem;
+    const { retryAfterSeconds: _removed, ...problem } = taskEnd.problem;
     return end({ ...problem, hint: "This key is used up and will never run; send the work with a new key." });
 }
 
-/** Keeps the refusal but says what an entry that cannot see the claims may say. */
+/** Turns a refusal "not run" into "unknown", for an entry that cannot read the claims; other ends stay as they are. */
 export function withUnknownHistory(taskEnd: TaskEnd): TaskEnd {
     if (!isNotRun(taskEnd) || taskEnd.kind === "answered") {
         return taskEnd;
--- a/src/once/test/buckets.feature
+++ b/src/once/test/buckets.feature
@@ -1,8 +1,9 @@
 Feature: Buckets of claims
 
-    Scenario: a full bucket refuses and forgets nothing early
-        Far more keys come than were planned for. Were old claims dropped to make room, a late retry of an old payment
-        would run again; so new keys are refused until old claims have had their time.
+    Scenario: a full bucket refuses new claims and keeps all claims for the retention
+        Guards against payments that run twice because a bucket drops claims early. Far more keys arrive than a bucket
+        has capacity for. If old claims were dropped, a late retry of an old payment would run again, so new keys are
+        refused until the retention of old claims is over.
         Given a bucket with 3 slots of 400 bytes and a retention of 1 hour
         When claims are committed until one is refused as "full"
         Then every claim committed before is still taken
@@ -11,40 +12,43 @@
         Then a new claim is granted
         And the bucket has forgotten the first claim
 
-    Scenario: a paused home that wakes cannot overwrite a sealed segment
-        A home stops with an old view of the bucket. Others fill and seal segments meanwhile. When it wakes and goes on,
-        the slot that it thinks free holds their claims; overwritten, those keys could run again.
+    Scenario: a committer that was paused cannot overwrite a sealed segment
+        Guards against lost claims. A committer is paused with an outdated copy of the bucket while another one fills
+        and seals segments. When the first resumes, the slot that is free in its copy holds the other's claims. If it
+        overwrote them, those keys could run again.
         Given a bucket with 3 slots of 400 bytes and a retention of 1 hour
-        And a paused home that has seen 12 claims
-        When another home commits 20 claims
-        And the paused home wakes and commits 12 claims at once
+        And a committer that commits 12 claims and is then paused
+        When another committer commits 20 claims
+        And the paused committer resumes and commits 12 claims at once
         Then every claim committed before is still taken
 
-    Scenario: a home that died between a segment and its head
-        A home writes a sealed segment and dies before it writes the head. The next home must be able to go on.
+    Scenario: a committer dies between the writes of a sealed segment and of the head
+        Guards against a bucket that no entry can write. A committer writes a sealed segment and dies before it writes
+        the head. The next committer must be able to continue.
         Given a bucket with 3 slots of 400 bytes and a retention of 1 hour
-        And a home that dies between the segment and the head
-        When another home commits 12 claims
+        And a committer that dies between the writes of a sealed segment and of the head
+        When another committer commits 12 claims
         Then every claim committed before is still taken
 
-    Scenario: claims are written in groups
-        Many payments come at once. One write each would use up the platform's writes for everybody.
+    Scenario: claims are written in batches
+        Guards against overload of the platform. Many payments arrive at once; one write for each would use up the
+        platform's write capacity for all callers.
         Given a bucket with 512 slots of 65536 bytes and a retention of 24 hours
-        When 500 claims come within one second
+        When 500 claims are requested within one second
         Then at most 11 writes were made
         And every claim committed before is still taken
 
     Scenario: an idle bucket is written at once
-        A single payment does not wait for others to come.
+        Guards against needless delay: a single claim must not wait for others to be batched with.
         Given a bucket with 512 slots of 65536 bytes and a retention of 24 hours
-        When one claim comes
+        When one claim is requested
         Then it is granted within 10 ms
 
-    Scenario: any text as a bucket's value
-        Somebody else writes under the bucket's key, or a newer version changes the form. The home must neither crash nor
-        take the key for free.
+    Scenario: any text as the value of a bucket
+        Another program writes to the bucket's key, or a newer version changes the format. The committer must neither
+        crash nor grant a claim that the value might already hold.
         Then for 500 random values no claim is granted that the value might hold
 
     Scenario: any message between entries
-        A peer of another version, or a broken one, sends anything at all.
+        A peer of another version, or a faulty one, may send any message.
         Then 500 random messages to each topic are answered without a crash, a claim or a run
--- a/src/once/test/buckets.steps.ts
+++ b/src/once/test/buckets.steps.ts
@@ -14,9 +14,9 @@
     clock: Clock;
     platform: FakePlatform;
     settings: BucketSettings;
-    home: BucketHome;
-    paused: BucketHome;
-    wake: () => void;
+    committer: BucketHome;
+    pausedCommitter: BucketHome;
+    resume: () => void;
     granted: string[];
     results: ClaimResult[];
     tookMs: number;
@@ -26,9 +26,11 @@
 const seed = 7;
 const headKey = "samphirepin/claims/0";
 const holder = { boot: "boot-a", fingerprint: "work" };
-/** Fixed, so that the sizes of records, and with them the moments of sealing, are the same in every run. */
+/** Fixed, so that the sizes of records, and therefore the times of sealing, are the same in every run. */
 const firstNumber = 1000;
-/** Longer than the other hashes, so that the paused home has to seal where the other one had room for one more. */
+/**
+ * Longer than the other hashes, so that the paused committer has to seal where the other one could add one more claim.
+ */
 const longHashChars = 32;
 let nextNumber = firstNumber;
 
@@ -53,8 +55,8 @@
     return promise;
 }
 
-async function commit(world: World, home: BucketHome, hash: string): Promise<ClaimResult> {
-    const result = await settle(world, home.commit({ ...holder, hash, number: nextNumber++ }));
+async function commit(world: World, committer: BucketHome, hash: string): Promise<ClaimResult> {
+    const result = await settle(world, committer.commit({ ...holder, hash, number: nextNumber++ }));
     if (result.kind === "granted") {
         world.granted.push(hash);
     }
@@ -70,14 +72,14 @@
     startClock(this);
     this.platform = createFakePlatform();
     this.settings = { ...defaultBucketSettings, slots, sealBytes, retentionMs: hours * 3600_000 };
-    this.home = createBucketHome(this.platform.connect("a"), this.settings, 0);
+    this.committer = createBucketHome(this.platform.connect("a"), this.settings, 0);
     this.granted = [];
     nextNumber = firstNumber;
 });
 
 When("claims are committed until one is refused as {string}", async function(this: World, kind: string) {
     for (let at = 0; at < 1000; at++) {
-        const result = await commit(this, this.home, `key-${at}`);
+        const result = await commit(this, this.committer, `key-${at}`);
         if (result.kind !== "granted") {
             assert.equal(result.kind, kind);
             assert.ok(this.granted.length > 20);
@@ -104,7 +106,7 @@
 });
 
 Then("a new claim is granted", async function(this: World) {
-    assert.equal((await commit(this, this.home, "a-new-key")).kind, "granted");
+    assert.equal((await commit(this, this.committer, "a-new-key")).kind, "granted");
 });
 
 Then("the bucket has forgotten the first claim", async function(this: World) {
@@ -112,33 +114,33 @@
     assert.equal((await settle(this, fresh.lookup("key-0", true))).kind, "free");
 });
 
-Given("a paused home that has seen {int} claims", async function(this: World, count: number) {
+Given("a committer that commits {int} claims and is then paused", async function(this: World, count: number) {
     const gate = createGate();
-    this.paused = createBucketHome(gatePlatform(this.platform.connect("b"), gate), this.settings, 0);
-    this.wake = () => gate.wake();
+    this.pausedCommitter = createBucketHome(gatePlatform(this.platform.connect("b"), gate), this.settings, 0);
+    this.resume = () => gate.wake();
     for (let at = 0; at < count; at++) {
-        await commit(this, this.paused, `seen-${at}`);
+        await commit(this, this.pausedCommitter, `seen-${at}`);
     }
     gate.freeze();
 });
 
-When("another home commits {int} claims", async function(this: World, count: number) {
+When("another committer commits {int} claims", async function(this: World, count: number) {
     for (let at = 0; at < count; at++) {
-        assert.equal((await commit(this, this.home, `other-${at}`)).kind, "granted");
+        assert.equal((await commit(this, this.committer, `other-${at}`)).kind, "granted");
     }
 });
 
-When("the paused home wakes and commits {int} claims at once", async function(this: World, count: number) {
-    this.wake();
+When("the paused committer resumes and commits {int} claims at once", async function(this: World, count: number) {
+    this.resume();
     const hashes = Array.from({ length: count }, (_, at) => `woken-${at}`.padEnd(longHashChars, "x"));
-    const results = hashes.map((hash) => this.paused.commit({ ...holder, hash, number: nextNumber++ }));
+    const results = hashes.map((hash) => this.pausedCommitter.commit({ ...holder, hash, number: nextNumber++ }));
     await settle(this, Promise.all(results));
     for (const [at, result] of results.entries()) {
         this.granted.push(...(await result).kind === "granted" ? [hashes[at]!] : []);
     }
 });
 
-Given("a home that dies between the segment and the head", async function(this: World) {
+Given("a committer that dies between the writes of a sealed segment and of the head", async function(this: World) {
     const gate = createGate();
     const dying = createBucketHome(gatePlatform(this.platform.connect("b"), gate), this.settings, 0);
     this.platform.onWrite = (client, key) => client === "b" && key === `${headKey}/0` && gate.kill();
@@ -152,10 +154,10 @@
     assert.ok(gate.isDead);
 });
 
-When("{int} claims come within one second", async function(this: World, count: number) {
+When("{int} claims are requested within one second", async function(this: World, count: number) {
     const results: Promise<ClaimResult>[] = [];
     for (let at = 0; at < count; at++) {
-        results.push(this.home.commit({ ...holder, hash: `key-${at}`, number: nextNumber++ }));
+        results.push(this.committer.commit({ ...holder, hash: `key-${at}`, number: nextNumber++ }));
         this.granted.push(`key-${at}`);
         await this.clock.tickAsync(1000 / count);
     }
@@ -167,9 +169,9 @@
     assert.ok(this.platform.calls.write <= writes, `${this.platform.calls.write} writes`);
 });
 
-When("one claim comes", async function(this: World) {
+When("one claim is requested", async function(this: World) {
     const startedAtMs = Date.now();
-    assert.equal((await commit(this, this.home, "only")).kind, "granted");
+    assert.equal((await commit(this, this.committer, "only")).kind, "granted");
     this.tookMs = Date.now() - startedAtMs;
 });
 
@@ -192,10 +194,10 @@
         const property = fc.asyncProperty(value, async (text) => {
             const platform = createFakePlatform();
             platform.values.set(headKey, { text, revision: 1 });
-            const home = createBucketHome(platform.connect("a"), defaultBucketSettings, 0);
-            const result = await commit(this, home, "key");
-            const isWholeAndFree = result.kind === "granted" && !text.includes("\"key\"");
-            assert.ok(result.kind !== "granted" || isWholeAndFree, `${result.kind} with ${text}`);
+            const committer = createBucketHome(platform.connect("a"), defaultBucketSettings, 0);
+            const result = await commit(this, committer, "key");
+            const isGrantedAndAbsent = result.kind === "granted" && !text.includes("\"key\"");
+            assert.ok(result.kind !== "granted" || isGrantedAndAbsent, `${result.kind} with ${text}`);
         });
         await fc.assert(property, { numRuns: runs, seed });
     },
@@ -207,9 +209,9 @@
 ) {
     startClock(this);
     this.granted = [];
-    const making = createCluster({ entries: 2, workers: 1 });
+    const creating = createCluster({ entries: 2, workers: 1 });
     await this.clock.tickAsync(2000);
-    const cluster = await making;
+    const cluster = await creating;
     const peers = cluster.network.connect({
         boot: "stranger",
         instance: "stranger",
--- a/src/once/test/faults.steps.ts
+++ b/src/once/test/faults.steps.ts
@@ -18,20 +18,20 @@
 
 const runMs = 300;
 const settleMs = 45_000;
-/** Long enough for a refusal, and shorter than what was seen of the claims counts as fresh. */
+/** Long enough for a refusal, and shorter than the maximum age of cached claims for lookups at admission. */
 const refusalMs = 250;
 
 After(function(this: Partial<World>) {
     this.clock?.uninstall();
 });
 
-Given("{int} entries on a paused clock", async function(this: World, entries: number) {
+Given("{int} entries with a fake clock", async function(this: World, entries: number) {
     this.clock = install({
         toFake: ["setTimeout", "clearTimeout", "setInterval", "clearInterval", "Date", "performance"],
     });
-    const making = createCluster({ entries, workers: 2 });
+    const creating = createCluster({ entries, workers: 2 });
     await this.clock.tickAsync(2000);
-    this.cluster = await making;
+    this.cluster = await creating;
     this.key = "payment-0";
     this.sent = [];
 });
@@ -50,10 +50,10 @@
     return key.startsWith("samphirepin/claims/") && JSON.parse(text).records.length > 0;
 }
 
-/** Calls back at the moment that the scenario names. */
+/** Calls `act` once at the moment that the scenario names. */
 function atMoment(cluster: Cluster, moment: string, act: () => void): void {
     let isDone = false;
-    const once = (isNow: boolean) => {
+    const actOnce = (isNow: boolean) => {
         if (isNow && !isDone) {
             isDone = true;
             act();
@@ -61,16 +61,16 @@
     };
     switch (moment) {
         case "before its claim":
-            setTimeout(() => once(true), 0);
+            setTimeout(() => actOnce(true), 0);
             return;
         case "after its claim":
-            cluster.platform.onWrite = (_client, key, text) => once(isClaim(key, text));
+            cluster.platform.onWrite = (_client, key, text) => actOnce(isClaim(key, text));
             return;
         case "after its send":
-            cluster.workers.onChange = () => once(cluster.workers.starts.length > 0);
+            cluster.workers.onChange = () => actOnce(cluster.workers.starts.length > 0);
             return;
         case "after its answer":
-            cluster.workers.onChange = () => once(cluster.workers.starts.length > 0 && countRunning(cluster) === 0);
+            cluster.workers.onChange = () => actOnce(cluster.workers.starts.length > 0 && countRunning(cluster) === 0);
             return;
         default:
             throw new Error(`no such moment: ${moment}`);
@@ -117,13 +117,16 @@
     },
 );
 
-When("a payment is sent through entry 0, and the platform falls silent with its claim", async function(this: World) {
-    atMoment(this.cluster, "after its claim", () => {
-        this.cluster.platform.isDown = true;
-    });
-    send(this, 0);
-    await this.clock.tickAsync(10_000);
-});
+When(
+    "a payment is sent through entry 0, and the platform stops responding after the write of its claim",
+    async function(this: World) {
+        atMoment(this.cluster, "after its claim", () => {
+            this.cluster.platform.isDown = true;
+        });
+        send(this, 0);
+        await this.clock.tickAsync(10_000);
+    },
+);
 
 When("a payment is sent through entry 0", async function(this: World) {
     send(this, 0);
@@ -150,7 +153,7 @@
     await this.clock.tickAsync(settleMs);
 });
 
-When("other work is sent with the same key through entry 1", async function(this: World) {
+When("another payment is sent with the same key through entry 1", async function(this: World) {
     send(this, 1, this.key, { payload: "run 1 of another amount" });
     await this.clock.tickAsync(settleMs);
 });
@@ -227,7 +230,7 @@
     }
 });
 
-Then("everybody is told {string}", function(this: World, outcome: string) {
+Then("every caller is told {string}", function(this: World, outcome: string) {
     assert.deepEqual(this.sent.map(outcomeOf), this.sent.map(() => outcome));
 });
 
@@ -257,7 +260,7 @@
     }
 });
 
-Then("nobody who was told {string} had it started", function(this: World, outcome: string) {
+Then("no payment whose caller was told {string} was started", function(this: World, outcome: string) {
     const started = new Set(
         this.cluster.workers.starts.map(({ order }) => this.cluster.requestOfAttempt.get(order.attempt)),
     );
--- a/src/once/test/property.steps.ts
+++ b/src/once/test/property.steps.ts
@@ -9,7 +9,7 @@
     defect: Defect;
 }
 
-/** Seeds tried until a defect shows. */
+/** Maximum number of seeds that are tried until a defect is found. */
 const maxDefectSeeds = 400;
 
 setDefaultTimeout(60_000);
