--- a/src/configuration/applied.ts
+++ b/src/configuration/applied.ts
@@ -2,25 +2,26 @@
 import { type Either, Left } from "purify-ts";
 import { applyCommand, type CommandRecord, createEmptyState, type FleetState, type Rejection } from "../state";
 
-/** The state after a number of records, and what proves which records they were. */
+/** The state after a number of records, with a hash that identifies these records and their order. */
 export interface Applied {
     readonly state: FleetState;
     /** Chained hash of the ids of all records applied; two entries with the same hash have the same history. */
     readonly hash: string;
-    /** Ids of the newest records, oldest first; they tell a writer after a lost answer that its record is in. */
+    /** Ids of the newest records, oldest first. After a lost response a writer finds its record by them. */
     readonly recentIds: readonly string[];
 }
 
-/** Ids kept; a writer whose answer was lost has this many records' time to find its own. */
+/** Number of ids that are kept. A writer whose response was lost can find its record until this many others follow. */
 export const maxRecentIds = 512;
 
 export const emptyApplied: Applied = { state: createEmptyState(), hash: "", recentIds: [] };
 
+/** Hash of a history, from the hash of the history before its last record and the id of that record. */
 export function chainHash(hash: string, id: string): string {
     return createHash("sha256").update(`${hash}\n${id}`).digest("hex").slice(0, 32);
 }
 
-/** Applies one record whole or not at all; a record that this version cannot read is rejected. */
+/** Applies one record atomically; a record that this version cannot read is rejected. */
 export function applyRecord(applied: Applied, record: CommandRecord): Either<Rejection, Applied> {
     try {
         return applyCommand(applied.state, record).map((state) => ({
@@ -30,8 +31,8 @@
         }));
     }
     catch (error) {
-        // A record of another version may lack a field that the reducer reads. The states are never changed in place,
-        // so that nothing of it has been applied.
+        // A record of another version may lack a field that `applyCommand` reads. States are never modified in place,
+        // so a record that fails halfway has changed nothing.
         return Left({ kind: "rejected", detail: `the record cannot be read: ${String(error)}` });
     }
 }
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -9,9 +9,9 @@
 /**
  * Why a command was not accepted.
  *
- * - `rejected`: it does not apply to the state it met.
- * - `unavailable`: the platform did not take it; it will not appear in the log.
- * - `unknown`: the answer was lost and the log could not be read again; it may appear in the log.
+ * - `rejected`: the command is not valid for the current state.
+ * - `unavailable`: the platform did not store it; it will not appear in the log.
+ * - `unknown`: the response was lost and the log could not be read again; the command may appear in the log.
  */
 export type AppendFailure =
     | { readonly kind: "rejected"; readonly detail: string; }
@@ -21,73 +21,74 @@
 export interface ConfigurationOptions {
     readonly platform: Platform;
     readonly watcher: Watcher;
-    /** Without peers, the platform is the only source. */
+    /** Without peers, the log comes from the platform alone. */
     readonly peers?: Peers;
     /** Without members, only connected peers count for `inForce`. */
     readonly members?: Members;
     readonly report?: Reporter;
-    /** How long one command is tried, in milliseconds. */
+    /** Time limit for appending one command, retries included, in milliseconds. */
     readonly appendMs?: number;
-    /** How often peers are told this entry's revision, in milliseconds. */
+    /** Interval at which this entry announces its revision to its peers, in milliseconds. */
     readonly digestMs?: number;
-    /** Silence of the platform and of all peers after which this entry counts as isolated, in milliseconds. */
+    /** This entry counts as isolated after this time without a message from the platform or a peer, in milliseconds. */
     readonly isolatedAfterMs?: number;
-    /** How long the log may grow; the same at every entry. */
+    /** Size limits of the log; they must be the same at every entry. */
     readonly bounds?: LogBounds;
-    /** Between 0 and 1; spreads retries. */
+    /** Gives numbers between 0 and 1, for the jitter of retries. */
     readonly random?: () => number;
 }
 
+/** A command with the operator who gave it and the stated reason. */
 export interface AppendRequest {
     readonly by: string;
     readonly reason: string;
     readonly command: Command;
 }
 
-/** An entry that may serve and has not confirmed a revision. */
+/** An entry that may still serve and has not confirmed a revision. */
 export interface MissingEntry {
     readonly instance: string;
     readonly boot: string;
     readonly zone: string;
-    /** When it was last heard, in milliseconds of this entry's clock; `undefined` where it never was. */
+    /** When it last reported its revision, in milliseconds of this entry's clock; `undefined` if it never did. */
     readonly lastHeardAtMs: number | undefined;
-    /** The revision it last confirmed. */
+    /** The revision that it last reported; `undefined` if it never did. */
     readonly revision: number | undefined;
 }
 
-/** Where a revision is in force, as far as this entry knows. */
+/** Which entries have applied a revision, as far as this entry knows. */
 export interface InForce {
     readonly revision: number;
-    /** True where every entry that may still serve has confirmed it, or has provably stopped. */
+    /** True if each entry has either confirmed the revision or provably stopped serving. */
     readonly everywhere: boolean;
-    /** Boots that have confirmed it. */
+    /** Boots of the entries that have confirmed it. */
     readonly confirmed: readonly string[];
     readonly missing: readonly MissingEntry[];
 }
 
-/** How far this entry is cut off. */
+/** Whether this entry is isolated from the platform and from all peers. */
 export interface Isolation {
     readonly isIsolated: boolean;
-    /** Since when neither the platform nor a peer was heard, in milliseconds of this entry's clock. */
+    /** When the platform or a peer was last heard, or this entry started, in milliseconds of this entry's clock. */
     readonly lastHeardAtMs: number;
 }
 
-/** The agreed state as this entry knows it; its revision never goes back. */
+/** This entry's replica of the agreed state. Its revision never decreases. */
 export interface Configuration {
-    /** `undefined` until the first state is known. */
+    /** The current state; `undefined` until a first one is known. */
     state(): FleetState | undefined;
-    /** Adds one command to the log; gives the revision that holds it. */
+    /** Appends one command to the log and returns the revision at which it was accepted. */
     append(request: AppendRequest): Promise<Either<AppendFailure, number>>;
-    /** Calls the listener after each change; returns what ends it. */
+    /** Calls the listener after each change; returns a function that removes the listener. */
     onChange(listener: (state: FleetState) => void): () => void;
-    /** Which entries have a revision in force, as they last told this entry. */
+    /** Which entries have a revision in force, by their last reports to this entry. */
     inForce(revision: number): InForce;
-    /** Waits until a revision is in force everywhere, or the time is over; gives what is known then. */
+    /** Waits until a revision is in force everywhere or `waitMs` have passed; returns what is known then. */
     awaitInForce(revision: number, waitMs: number): Promise<InForce>;
-    /** Reads the log now; gives false where the platform did not answer or its log cannot be applied. */
+    /** Reads and applies the log now; returns false if the platform did not respond or its log cannot be applied. */
     refresh(): Promise<boolean>;
     isolation(): Isolation;
-    /** Begins to tell peers and to hear from them. */
+    /** Starts announcing this entry's revision to peers and checking for isolation. */
     start(): void;
     stop(): void;
 }
--- a/src/configuration/createAppender.ts
+++ b/src/configuration/createAppender.ts
@@ -14,21 +14,23 @@
     readonly platform: Platform;
     readonly history: History;
     readonly bounds: LogBounds;
-    /** How long one command is tried, in milliseconds. */
+    /** Time limit for appending one command, retries included, in milliseconds. */
     readonly appendMs: number;
+    /** Gives numbers between 0 and 1, for the jitter of retries. */
     readonly random: () => number;
-    /** Takes in a log that was read, with its snapshot where that is needed. */
+    /** Merges a log that was read into the history; reads its snapshot first if the history is behind it. */
     readonly absorb: (log: LogValue) => Promise<Offer>;
-    /** Called with each log that this entry wrote, once it is durable. */
+    /** Called with each log that this entry has written, once it is durable. */
     readonly onWritten: (stored: StoredValue) => void;
 }
 
-/** Adds records to the log by compare-and-swap, many in one write where they come together. */
+/** Appends records to the log by compare-and-swap; records that wait at the same time share a write. */
 export interface Appender {
+    /** Appends one record and returns its revision. */
     append(record: CommandRecord): Promise<Either<AppendFailure, number>>;
-    /** Takes in a log that the watch brought, so that the next write needs no read. */
+    /** Caches a log that the watch brought, so that the next write needs no read. */
     learn(stored: StoredValue): void;
-    /** Writes what this entry knows over an older log; for a platform that went back. */
+    /** Appends the records of this entry that the log lacks, after the platform was restored to an older value. */
     restore(): void;
 }
 
@@ -36,24 +38,28 @@
     readonly record: CommandRecord;
     readonly endAtMs: number;
     settle(result: Either<AppendFailure, number>): void;
-    /** The key's revision that a write with a lost answer expected; it may take effect while the key stands there. */
-    unsettledAt?: number | undefined;
-    /** This entry's revision when that write was sent. */
+    /**
+     * The key's revision that a write with a lost response expected. The write may still take effect while the key has
+     * this revision. `undefined` if no outcome is open.
+     */
+    unsettledKeyRevision?: number | undefined;
+    /** The revision of this entry's history when that write was sent. */
     sentAtRevision?: number | undefined;
 }
 
 /**
- * A log with the key's revision it was read at. The two stay together: the watch may bring a newer log while a round
- * waits, and the older log written against the newer revision would overwrite what others had added.
+ * A log with the revision of its key. Both are passed together, as the watch may bring a newer log while a round waits.
+ * A write based on the older log that expects the newer revision would overwrite records that others have appended.
  */
 interface ReadLog {
     readonly log: LogValue;
     readonly keyRevision: number;
 }
 
-/** What one round came to: `again` where somebody else was first or the answer was lost. */
-type Round = "done" | "again" | { readonly kind: "unavailable" | "rejected"; readonly detail: string; };
+/** Result of one round: `again` means that it must be repeated, for instance after a conflict or a lost response. */
+type RoundResult = "done" | "again" | { readonly kind: "unavailable" | "rejected"; readonly detail: string; };
 
+/** Limit of records in one write. */
 const maxBatchRecords = 32;
 const maxBackoffMs = 400;
 
@@ -61,40 +67,40 @@
     const { platform, history } = opts;
     const queue: Pending[] = [];
     let stored: StoredValue | undefined;
-    let isPumping = false;
-    let mustRestore = false;
+    let isProcessing = false;
+    let needsRestore = false;
     let batchLimit = maxBatchRecords;
 
-    async function pump(): Promise<void> {
-        if (isPumping) {
+    async function processQueue(): Promise<void> {
+        if (isProcessing) {
             return;
         }
-        isPumping = true;
+        isProcessing = true;
         let rounds = 0;
-        while (queue.length > 0 || mustRestore) {
+        while (queue.length > 0 || needsRestore) {
             const batch = queue.slice(0, batchLimit);
-            const result = await tryRound(batch, rounds > 0 || mustRestore);
-            giveUp(batch, result);
-            drain();
+            const result = await runRound(batch, rounds > 0 || needsRestore);
+            settleFailed(batch, result);
+            removeSettled();
             if (result === "done") {
-                [rounds, mustRestore, batchLimit] = [0, false, maxBatchRecords];
+                [rounds, needsRestore, batchLimit] = [0, false, maxBatchRecords];
             }
             else {
                 await backOff(++rounds);
             }
         }
-        isPumping = false;
+        isProcessing = false;
     }
 
-    /** Without the random part, entries that met in one conflict would meet again in the next. */
+    /** Exponential backoff with jitter; without jitter, entries that conflicted once would conflict again. */
     function backOff(rounds: number): Promise<void> {
         const ms = opts.random() * Math.min(maxBackoffMs, 10 * 2 ** rounds);
         return pause(ms);
     }
 
-    function drain(): void {
-        const open = queue.filter((pending) => !settled.has(pending));
-        queue.splice(0, queue.length, ...open);
+    function removeSettled(): void {
+        const unsettled = queue.filter((pending) => !settled.has(pending));
+        queue.splice(0, queue.length, ...unsettled);
     }
 
     const settled = new WeakSet<Pending>();
@@ -104,19 +110,22 @@
         pending.settle(result);
     }
 
-    /** A record whose write may still take effect is never called refused or unavailable. */
-    function giveUp(batch: readonly Pending[], result: Round): void {
+    /**
+     * Settles records that failed in this round or are past their deadline. A record whose write may still take effect
+     * is never reported as rejected or unavailable; at its deadline its outcome is `unknown`.
+     */
+    function settleFailed(batch: readonly Pending[], result: RoundResult): void {
         for (const pending of batch.filter((each) => !settled.has(each))) {
-            const isOver = Date.now() >= pending.endAtMs;
-            if (pending.unsettledAt !== undefined) {
-                if (isOver) {
+            const isExpired = Date.now() >= pending.endAtMs;
+            if (pending.unsettledKeyRevision !== undefined) {
+                if (isExpired) {
                     settle(pending, Left({ kind: "unknown", detail: "the platform's answers were lost" }));
                 }
             }
             else if (typeof result === "object") {
                 settle(pending, Left(result));
             }
-            else if (isOver) {
+            else if (isExpired) {
                 settle(
                     pending,
                     Left({
@@ -128,27 +137,27 @@
         }
     }
 
-    async function tryRound(batch: readonly Pending[], isFresh: boolean): Promise<Round> {
+    async function runRound(batch: readonly Pending[], isFresh: boolean): Promise<RoundResult> {
         const read = await readLog(isFresh);
         if (read === undefined) {
             return { kind: "unavailable", detail: "the platform does not answer, or its log cannot be read" };
         }
         const offer = await opts.absorb(read.log);
         if (offer.kind === "behind") {
-            // The snapshot was removed by a newer cut while it was read, or the platform failed: look again.
+            // A newer compaction removed the snapshot while it was read, or the platform failed: read the log again.
             return "again";
         }
-        const contradiction = describeContradiction(offer);
-        if (contradiction !== undefined) {
-            return { kind: "unavailable", detail: contradiction };
+        const conflict = describeConflict(offer);
+        if (conflict !== undefined) {
+            return { kind: "unavailable", detail: conflict };
         }
-        settleKnown(batch, read.keyRevision);
-        const open = batch.filter((each) => !settled.has(each));
-        const isOlder = read.log.baseRevision + read.log.records.length < history.revision();
-        if (open.length === 0) {
-            return mustRestore && isOlder ? write(read, []) : "done";
+        settleAppended(batch, read.keyRevision);
+        const unsettled = batch.filter((each) => !settled.has(each));
+        const isLogBehind = read.log.baseRevision + read.log.records.length < history.revision();
+        if (unsettled.length === 0) {
+            return needsRestore && isLogBehind ? write(read, []) : "done";
         }
-        return writeBatch(read, open, isFresh);
+        return writeBatch(read, unsettled, isFresh);
     }
 
     async function readLog(isFresh: boolean): Promise<ReadLog | undefined> {
@@ -163,54 +172,58 @@
         return log === undefined ? undefined : { log, keyRevision: stored.revision };
     }
 
-    /** Finds records whose answer was lost, and clears those whose write can no longer take effect. */
-    function settleKnown(batch: readonly Pending[], keyRevision: number): void {
+    /**
+     * Settles records with a lost response that the history contains. The others are written again once their write can
+     * no longer take effect. If more than `maxRecentIds` records followed meanwhile, the outcome is unknown.
+     */
+    function settleAppended(batch: readonly Pending[], keyRevision: number): void {
         for (const pending of batch) {
             const revision = history.revisionOf(pending.record.id);
             if (revision !== undefined) {
                 settle(pending, Right(revision));
             }
-            else if (pending.unsettledAt !== undefined && keyRevision > pending.unsettledAt) {
+            else if (pending.unsettledKeyRevision !== undefined && keyRevision > pending.unsettledKeyRevision) {
                 const passed = history.revision() - (pending.sentAtRevision ?? 0);
                 if (passed > maxRecentIds) {
                     settle(pending, Left({ kind: "unknown", detail: "too much has been written since" }));
                 }
-                pending.unsettledAt = undefined;
+                pending.unsettledKeyRevision = undefined;
             }
         }
     }
 
-    async function writeBatch(read: ReadLog, batch: readonly Pending[], isFresh: boolean): Promise<Round> {
+    async function writeBatch(read: ReadLog, batch: readonly Pending[], isFresh: boolean): Promise<RoundResult> {
         let next = history.applied() ?? emptyApplied;
-        const taken: Pending[] = [];
+        const applicable: Pending[] = [];
         const rejected: [Pending, AppendFailure][] = [];
         for (const pending of batch) {
             const applied = applyRecord(next, pending.record);
             applied.ifRight((value) => {
                 next = value;
-                taken.push(pending);
+                applicable.push(pending);
             });
             applied.ifLeft((failure) => rejected.push([pending, failure]));
         }
-        if (taken.length === 0 && !isFresh) {
-            // The watch may lag: a key granted elsewhere a moment ago would be called unknown. Only a read refuses.
+        if (applicable.length === 0 && !isFresh) {
+            // The watch may lag: a key that another entry has just granted would be rejected as unknown. Records are
+            // only rejected after a read.
             return "again";
         }
-        if (taken.length === 0) {
-            const certain = rejected.filter(([pending]) => pending.unsettledAt === undefined);
-            certain.forEach(([pending, failure]) => settle(pending, Left(failure)));
-            return certain.length === rejected.length ? "done" : "again";
+        if (applicable.length === 0) {
+            const safeToReject = rejected.filter(([pending]) => pending.unsettledKeyRevision === undefined);
+            safeToReject.forEach(([pending, failure]) => settle(pending, Left(failure)));
+            return safeToReject.length === rejected.length ? "done" : "again";
         }
-        const written = await write(read, taken);
+        const written = await write(read, applicable);
         if (written === "done") {
             rejected.forEach(([pending, failure]) => settle(pending, Left(failure)));
         }
         return written;
     }
 
-    async function write({ log, keyRevision }: ReadLog, taken: readonly Pending[]): Promise<Round> {
+    async function write({ log, keyRevision }: ReadLog, applicable: readonly Pending[]): Promise<RoundResult> {
         const tail = history.after(log.baseRevision + log.records.length);
-        const added = taken.map(({ record }) => record);
+        const added = applicable.map(({ record }) => record);
         const cut = await cutLog({ platform, history, bounds: opts.bounds, log, missing: tail?.records, added });
         if (cut === undefined) {
             return { kind: "unavailable", detail: "the platform does not take a snapshot" };
@@ -219,14 +232,14 @@
         const text = encodeValue(next);
         const sentAtRevision = history.revision();
         const swapped = await platform.compareAndSwap(logKey, keyRevision, text);
-        return swapped.caseOf<Round>({
+        return swapped.caseOf<RoundResult>({
             Left: (failure) => {
                 switch (failure.kind) {
                     case "conflict":
                         return "again";
                     case "unknown":
-                        taken.forEach((pending) => {
-                            pending.unsettledAt = Math.max(pending.unsettledAt ?? 0, keyRevision);
+                        applicable.forEach((pending) => {
+                            pending.unsettledKeyRevision = Math.max(pending.unsettledKeyRevision ?? 0, keyRevision);
                             pending.sentAtRevision ??= sentAtRevision;
                         });
                         return "again";
@@ -234,7 +247,7 @@
                         return { kind: "unavailable", detail: failure.detail };
                     case "tooLarge":
                         batchLimit = 1;
-                        return taken.length > 1
+                        return applicable.length > 1
                             ? "again"
                             : { kind: "rejected", detail: `the log would take ${failure.sizeBytes} bytes` };
                 }
@@ -242,7 +255,7 @@
             Right: (revision) => {
                 stored = { text, revision };
                 opts.onWritten(stored);
-                taken.forEach((pending) => {
+                applicable.forEach((pending) => {
                     const at = next.records.findIndex(({ id }) => id === pending.record.id);
                     settle(pending, Right(next.baseRevision + at + 1));
                 });
@@ -258,20 +271,20 @@
         append: (record) =>
             new Promise((settleWith) => {
                 queue.push({ record, endAtMs: Date.now() + opts.appendMs, settle: settleWith });
-                void pump();
+                void processQueue();
             }),
         learn(value) {
             stored = value;
         },
         restore() {
-            mustRestore = true;
-            void pump();
+            needsRestore = true;
+            void processQueue();
         },
     };
 }
 
-/** Why nothing may be written on top of the log that was read. */
-function describeContradiction(offer: Offer): string | undefined {
+/** Why no record may be appended to the log that was read; `undefined` if it agrees with this entry's history. */
+function describeConflict(offer: Offer): string | undefined {
     switch (offer.kind) {
         case "advanced":
         case "nothingNew":
--- a/src/configuration/createConfiguration.ts
+++ b/src/configuration/createConfiguration.ts
@@ -13,25 +13,25 @@
 
 const defaults = { appendMs: 10_000, digestMs: 2000, isolatedAfterMs: 60_000 } as const;
 
-/** How often entries that have not confirmed are asked again, in milliseconds. */
-const askMs = 500;
+/** Interval of queries to entries that have not confirmed a revision, and the timeout of a query, in milliseconds. */
+const queryIntervalMs = 500;
 
-/** How long to wait before a snapshot that could not be read is tried again, in milliseconds. */
+/** Delay before the next attempt to read a snapshot, in milliseconds. */
 const snapshotRetryMs = 1000;
 
-/** Follows the log by the platform's watch and by what peers tell, and appends by compare-and-swap. */
+/** Replicates the log by the platform's watch and by synchronization with peers, and appends by compare-and-swap. */
 export function createConfiguration(opts: ConfigurationOptions): Configuration {
     const { platform, watcher, peers, members } = opts;
     const report: Reporter = opts.report ?? (() => {});
     const bounds = opts.bounds ?? defaultLogBounds;
     const history = createHistory(bounds);
     const listeners = new Set<(state: FleetState) => void>();
-    const heardListeners = new Set<() => void>();
+    const reportListeners = new Set<() => void>();
     const reported = new Set<string>();
     const startedAtMs = Date.now();
-    let toldRevision = -1;
-    let newest: LogValue | undefined;
-    let isFollowing = false;
+    let notifiedRevision = -1;
+    let newestLog: LogValue | undefined;
+    let isCatchingUp = false;
     let isIsolated = false;
     let isStopped = false;
     let timer: NodeJS.Timeout | undefined;
@@ -42,12 +42,12 @@
         bounds,
         appendMs: opts.appendMs ?? defaults.appendMs,
         random: opts.random ?? Math.random,
-        absorb,
+        absorb: mergeStoredLog,
         onWritten(stored) {
             watcher.rewind(logKey, stored.revision);
             const log = parseLog(stored.text);
             if (log !== undefined) {
-                note("the platform", history.offerRecords(log));
+                handleMergeResult("the platform", history.offerRecords(log));
             }
         },
     });
@@ -56,25 +56,25 @@
         peers,
         history,
         digestMs: opts.digestMs ?? defaults.digestMs,
-        onOffer: (from, offer) => note(from.instance, offer),
-        onHeard: () => heardListeners.forEach((listener) => listener()),
+        onOffer: (from, offer) => handleMergeResult(from.instance, offer),
+        onHeard: () => reportListeners.forEach((listener) => listener()),
     });
 
-    watcher.follow(logKey, follow, (stored) => {
+    watcher.follow(logKey, handleStoredLog, (stored) => {
         report({ kind: "platformWentBack", key: logKey });
-        follow(stored);
+        handleStoredLog(stored);
         appender.restore();
     });
 
-    /** Reports what must not be, once for each case, and tells listeners of progress. */
-    function note(source: string, offer: Offer): void {
+    /** Reports each refused value once. Notifies listeners and peers if the revision has increased. */
+    function handleMergeResult(source: string, offer: Offer): void {
         if (offer.kind === "diverged" || offer.kind === "refused") {
-            const detail = offer.kind === "diverged" ? "contradicts what is in force here" : offer.detail;
+            const detail = offer.kind === "diverged" ? "contradicts the history of this entry" : offer.detail;
             reportOnce(`revision ${offer.revision} from ${source}: ${detail}`);
         }
         const state = history.applied()?.state;
-        if (state !== undefined && state.revision > toldRevision) {
-            toldRevision = state.revision;
+        if (state !== undefined && state.revision > notifiedRevision) {
+            notifiedRevision = state.revision;
             listeners.forEach((listener) => listener(state));
             relay?.tell();
         }
@@ -88,49 +88,49 @@
         }
     }
 
-    /** Takes in a log; reads the snapshot that it names where this entry is behind its base. */
-    async function absorb(log: LogValue): Promise<Offer> {
+    /** Merges a log into the history; first reads the log's snapshot if this entry is behind its base. */
+    async function mergeStoredLog(log: LogValue): Promise<Offer> {
         let offer = history.offerRecords(log);
         if (offer.kind === "behind" && log.snapshot !== undefined) {
             const snapshot = await readSnapshot(platform, log.snapshot);
             const isNamed = snapshot?.state.revision === log.baseRevision && snapshot.hash === log.baseHash;
             if (snapshot !== undefined && isNamed) {
-                const taken = history.offerSnapshot(snapshot);
-                offer = taken.kind === "diverged" ? taken : history.offerRecords(log);
+                const merged = history.offerSnapshot(snapshot);
+                offer = merged.kind === "diverged" ? merged : history.offerRecords(log);
             }
         }
-        note("the platform", offer);
+        handleMergeResult("the platform", offer);
         return offer;
     }
 
-    function follow(stored: StoredValue): void {
+    function handleStoredLog(stored: StoredValue): void {
         appender.learn(stored);
         const log = parseLog(stored.text);
         if (log === undefined) {
             reportOnce(`the log at the platform's revision ${stored.revision} is malformed or of another version`);
             return;
         }
-        newest = log;
+        newestLog = log;
         void catchUp();
     }
 
-    /** One at a time; a newer log goes before one whose snapshot cannot be read. */
+    /** Merges the newest log, one at a time. A newer log replaces one whose snapshot cannot be read. */
     async function catchUp(): Promise<void> {
-        if (isFollowing) {
+        if (isCatchingUp) {
             return;
         }
-        isFollowing = true;
-        while (newest !== undefined && !isStopped) {
-            const log = newest;
-            const offer = await absorb(log);
+        isCatchingUp = true;
+        while (newestLog !== undefined && !isStopped) {
+            const log = newestLog;
+            const offer = await mergeStoredLog(log);
             if (offer.kind === "behind") {
                 await pause(snapshotRetryMs);
             }
-            else if (newest === log) {
-                newest = undefined;
+            else if (newestLog === log) {
+                newestLog = undefined;
             }
         }
-        isFollowing = false;
+        isCatchingUp = false;
     }
 
     function lastHeardAtMs(): number {
@@ -150,7 +150,7 @@
     function inForce(revision: number): InForce {
         return findInForce({
             revision,
-            self: peers?.self ?? unlinked,
+            self: peers?.self ?? selfWithoutPeers,
             ownRevision: history.applied() === undefined ? -1 : history.revision(),
             recorded: members === undefined ? [] : members.recorded(),
             connected: peers?.connected() ?? [],
@@ -171,15 +171,15 @@
         inForce,
         async awaitInForce(revision, waitMs) {
             const endAtMs = Date.now() + waitMs;
-            // An entry that entered the record a moment ago counts too; the watch may not have told of it yet.
+            // An entry that has just joined the record counts too, and the watch may not have reported it yet.
             await members?.refresh();
             for (let result = inForce(revision);; result = inForce(revision)) {
                 const leftMs = endAtMs - Date.now();
                 if (result.everywhere || leftMs <= 0) {
                     return result;
                 }
-                result.missing.forEach(({ boot }) => void relay?.ask(boot, askMs));
-                await waitForNews(Math.min(leftMs, askMs));
+                result.missing.forEach(({ boot }) => void relay?.ask(boot, queryIntervalMs));
+                await waitForReport(Math.min(leftMs, queryIntervalMs));
             }
         },
         async refresh() {
@@ -188,7 +188,7 @@
             if (read.isLeft() || log === undefined) {
                 return false;
             }
-            const offer = await absorb(log);
+            const offer = await mergeStoredLog(log);
             return offer.kind === "advanced" || offer.kind === "nothingNew";
         },
         isolation: () => ({ isIsolated, lastHeardAtMs: lastHeardAtMs() }),
@@ -203,20 +203,21 @@
         },
     };
 
-    function waitForNews(ms: number): Promise<void> {
+    function waitForReport(ms: number): Promise<void> {
         return new Promise((resolve) => {
             const finish = () => {
                 clearTimeout(timeout);
-                heardListeners.delete(finish);
+                reportListeners.delete(finish);
                 resolve();
             };
             const timeout = setTimeout(finish, ms);
-            heardListeners.add(finish);
+            reportListeners.add(finish);
         });
     }
 }
 
-/** Details of refused values that are remembered, so that each is reported once. */
+/** Limit of stored details of refused values, so that each is reported once. */
 const maxReported = 64;
 
-const unlinked = { boot: "self", instance: "self", region: "", zone: "", peerUrl: "" };
+/** Stands for this entry where there are no peers. */
+const selfWithoutPeers = { boot: "self", instance: "self", region: "", zone: "", peerUrl: "" };
--- a/src/configuration/createHistory.ts
+++ b/src/configuration/createHistory.ts
@@ -3,13 +3,13 @@
 import type { LogBounds, LogPart } from "./logValue";
 
 /**
- * What came of records or a snapshot that were offered.
+ * Result of merging records or a snapshot into the history of this entry.
  *
- * - `advanced`: the revision went forward.
+ * - `advanced`: a first state is known, or the revision has increased.
  * - `nothingNew`: they end at or before this entry's revision.
- * - `behind`: they begin after it; a snapshot is needed.
- * - `diverged`: they contradict what this entry has applied; nothing was taken.
- * - `refused`: a record does not apply here, as one of a newer version; all before it was taken.
+ * - `behind`: the records begin after this entry's revision, so this entry needs a snapshot.
+ * - `diverged`: they contradict the records that this entry has applied; nothing was applied.
+ * - `refused`: this entry cannot apply a record, such as one of a newer version; all records before it were applied.
  */
 export type Offer =
     | { readonly kind: "advanced"; }
@@ -18,29 +18,33 @@
     | { readonly kind: "diverged"; readonly revision: number; }
     | { readonly kind: "refused"; readonly revision: number; readonly detail: string; };
 
-/** The state of one entry with its newest records; it only moves forward. */
+/** The state of one entry with its newest records. Its revision never decreases. */
 export interface History {
-    /** `undefined` until a first value was offered. */
+    /** `undefined` until a first log or snapshot is merged. */
     applied(): Applied | undefined;
     revision(): number;
+    /** Chained hash at a revision; `undefined` if the records after it are no longer kept, or it is not reached. */
     hashAt(revision: number): string | undefined;
-    /** The records after a revision; `undefined` where they are no longer kept. */
+    /** The records after a revision; `undefined` if some are no longer kept, or the revision is not reached. */
     after(revision: number): LogPart | undefined;
-    /** The state at a multiple of the snapshot interval that was passed lately. */
+    /** The state at a recent multiple of the snapshot interval; `undefined` if it is not kept. */
     checkpointAt(revision: number): Applied | undefined;
+    /** The revision of a recent record; `undefined` if its id is not among the recent ones. */
     revisionOf(id: string): number | undefined;
+    /** Applies the records that follow this entry's revision, if the earlier ones match its history. */
     offerRecords(part: LogPart): Offer;
+    /** Replaces the state by a newer snapshot, unless its recent ids contradict this entry's history. */
     offerSnapshot(snapshot: Applied): Offer;
 }
 
-/** The states share what did not change, so that keeping a few costs little. */
-const keptCheckpoints = 4;
+/** States share their unchanged parts, so a few checkpoints cost little memory. */
+const maxCheckpoints = 4;
 
 export function createHistory({ maxKeptRecords, snapshotInterval }: LogBounds): History {
     let applied: Applied | undefined;
     let checkpoints: Applied[] = [];
-    /** Kept records follow on `tailRevision`; `hashes[0]` is the hash there. */
-    let tailRevision = 0;
+    /** The revision before the first kept record; `hashes[0]` is its hash. */
+    let keptBaseRevision = 0;
     let hashes: string[] = [emptyApplied.hash];
     let records: CommandRecord[] = [];
 
@@ -49,69 +53,69 @@
     }
 
     function hashAt(at: number): string | undefined {
-        return hashes[at - tailRevision];
+        return hashes[at - keptBaseRevision];
     }
 
-    function take(next: Applied, record: CommandRecord): void {
+    function pushRecord(next: Applied, record: CommandRecord): void {
         applied = next;
         hashes.push(next.hash);
         records.push(record);
         const surplus = records.length - maxKeptRecords;
         if (surplus > 0) {
-            tailRevision += surplus;
+            keptBaseRevision += surplus;
             hashes = hashes.slice(surplus);
             records = records.slice(surplus);
         }
         if (next.state.revision % snapshotInterval === 0) {
-            checkpoints = [...checkpoints, next].slice(-keptCheckpoints);
+            checkpoints = [...checkpoints, next].slice(-maxCheckpoints);
         }
     }
 
-    function offerRecords(part: LogPart): Offer {
+    function mergeLogPart(part: LogPart): Offer {
         const end = part.baseRevision + part.records.length;
         if (part.baseRevision > revision()) {
             return { kind: "behind" };
         }
-        const common = Math.min(end, revision());
-        const theirs = part.records.slice(0, common - part.baseRevision)
+        const commonRevision = Math.min(end, revision());
+        const otherHash = part.records.slice(0, commonRevision - part.baseRevision)
             .reduce((hash, { id }) => chainHash(hash, id), part.baseHash);
-        const ours = hashAt(common);
-        if (ours !== undefined && ours !== theirs) {
-            return { kind: "diverged", revision: common };
+        const ownHash = hashAt(commonRevision);
+        if (ownHash !== undefined && ownHash !== otherHash) {
+            return { kind: "diverged", revision: commonRevision };
         }
-        const isFirst = applied === undefined;
+        const isFirstLog = applied === undefined;
         applied ??= emptyApplied;
-        for (const record of part.records.slice(common - part.baseRevision)) {
+        for (const record of part.records.slice(commonRevision - part.baseRevision)) {
             const next = applyRecord(applied, record);
             if (next.isLeft()) {
                 const detail = next.swap().map((rejection) => rejection.detail).orDefault("");
                 return { kind: "refused", revision: revision() + 1, detail };
             }
-            next.ifRight((value) => take(value, record));
+            next.ifRight((value) => pushRecord(value, record));
         }
-        return isFirst || revision() > common ? { kind: "advanced" } : { kind: "nothingNew" };
+        return isFirstLog || revision() > commonRevision ? { kind: "advanced" } : { kind: "nothingNew" };
     }
 
-    function offerSnapshot(snapshot: Applied): Offer {
-        const to = snapshot.state.revision;
-        if (applied !== undefined && to <= revision()) {
-            const known = hashAt(to);
-            return known === undefined || known === snapshot.hash
+    function adoptSnapshot(snapshot: Applied): Offer {
+        const toRevision = snapshot.state.revision;
+        if (applied !== undefined && toRevision <= revision()) {
+            const ownHash = hashAt(toRevision);
+            return ownHash === undefined || ownHash === snapshot.hash
                 ? { kind: "nothingNew" }
-                : { kind: "diverged", revision: to };
+                : { kind: "diverged", revision: toRevision };
         }
-        const missing = to - revision();
+        const missing = toRevision - revision();
         if (applied !== undefined && missing <= snapshot.recentIds.length) {
-            const theirs = snapshot.recentIds.slice(snapshot.recentIds.length - missing).reduce(
+            const otherHash = snapshot.recentIds.slice(snapshot.recentIds.length - missing).reduce(
                 chainHash,
                 applied.hash,
             );
-            if (theirs !== snapshot.hash) {
-                return { kind: "diverged", revision: to };
+            if (otherHash !== snapshot.hash) {
+                return { kind: "diverged", revision: toRevision };
             }
         }
         applied = snapshot;
-        [tailRevision, hashes, records] = [to, [snapshot.hash], []];
+        [keptBaseRevision, hashes, records] = [toRevision, [snapshot.hash], []];
         checkpoints = [snapshot];
         return { kind: "advanced" };
     }
@@ -124,7 +128,7 @@
             const baseHash = hashAt(from);
             return baseHash === undefined
                 ? undefined
-                : { baseRevision: from, baseHash, records: records.slice(from - tailRevision) };
+                : { baseRevision: from, baseHash, records: records.slice(from - keptBaseRevision) };
         },
         checkpointAt: (at) => checkpoints.find(({ state }) => state.revision === at),
         revisionOf(id) {
@@ -132,7 +136,7 @@
             const at = ids.lastIndexOf(id);
             return at < 0 ? undefined : revision() - (ids.length - 1 - at);
         },
-        offerRecords,
-        offerSnapshot,
+        offerRecords: mergeLogPart,
+        offerSnapshot: adoptSnapshot,
     };
 }
--- a/src/configuration/createRelay.ts
+++ b/src/configuration/createRelay.ts
@@ -8,25 +8,27 @@
 export interface RelayOptions {
     readonly peers: Peers;
     readonly history: History;
+    /** Interval of announcements, in milliseconds. */
     readonly digestMs: number;
-    /** Called after an offer from a peer; the revision may have gone forward. */
+    /** Called after records or a snapshot from a peer were merged, and when a digest shows a divergence. */
     readonly onOffer: (from: Peer, offer: Offer) => void;
-    /** Called when a peer has told its revision. */
+    /** Called after each report of a peer's revision. */
     readonly onHeard: () => void;
 }
 
-/** What a peer last told of itself. */
+/** The revision that a peer last reported, and when, by this entry's clock. */
 export interface Heard {
     readonly revision: number;
     readonly atMs: number;
 }
 
-/** Entries tell each other what they have applied; whoever lacks something asks for it. */
+/** Anti-entropy: each entry announces its revision to its peers, and an entry that is behind fetches from them. */
 export interface Relay {
-    /** Tells every peer this entry's revision. */
+    /** Announces this entry's revision to every peer. */
     tell(): void;
+    /** Last reports of the peers, by boot. */
     heard(): ReadonlyMap<string, Heard>;
-    /** Asks a peer for its revision now. */
+    /** Requests a peer's revision now. */
     ask(boot: string, timeoutMs: number): Promise<void>;
     start(): void;
     stop(): void;
@@ -38,12 +40,13 @@
     ask: "configuration/ask",
 } as const;
 
-const fetchMs = 3000;
+const fetchTimeoutMs = 3000;
 
+/** Delay before a fetch, as the platform's watch usually brings the same records in this time. */
 const watchHeadStartMs = 150;
 
-/** Peers remembered; those heard longest ago are forgotten first. */
-const maxHeard = 1024;
+/** Limit of stored reports; the oldest are dropped first. */
+const maxReports = 1024;
 
 const digestSchema = z.object({ revision: z.number().int().nonnegative(), hash: z.string().max(64) });
 const fetchedSchema = z.discriminatedUnion("kind", [
@@ -54,7 +57,7 @@
 
 export function createRelay(opts: RelayOptions): Relay {
     const { peers, history } = opts;
-    const heard = new Map<string, Heard>();
+    const lastReports = new Map<string, Heard>();
     let timer: NodeJS.Timeout | undefined;
     let isFetching = false;
 
@@ -62,27 +65,27 @@
         return { revision: history.revision(), hash: history.applied()?.hash ?? "" };
     }
 
-    function hear(from: Peer, body: unknown): void {
-        const told = digestSchema.safeParse(body).data;
-        if (told === undefined) {
+    function handleDigest(from: Peer, body: unknown): void {
+        const reported = digestSchema.safeParse(body).data;
+        if (reported === undefined) {
             return;
         }
-        heard.delete(from.boot);
-        heard.set(from.boot, { revision: told.revision, atMs: Date.now() });
-        [...heard.keys()].slice(0, -maxHeard).forEach((boot) => heard.delete(boot));
-        const ours = history.hashAt(told.revision);
-        if (ours !== undefined && history.applied() !== undefined && ours !== told.hash) {
-            opts.onOffer(from, { kind: "diverged", revision: told.revision });
+        lastReports.delete(from.boot);
+        lastReports.set(from.boot, { revision: reported.revision, atMs: Date.now() });
+        [...lastReports.keys()].slice(0, -maxReports).forEach((boot) => lastReports.delete(boot));
+        const ownHash = history.hashAt(reported.revision);
+        if (ownHash !== undefined && history.applied() !== undefined && ownHash !== reported.hash) {
+            opts.onOffer(from, { kind: "diverged", revision: reported.revision });
         }
-        else if (told.revision > history.revision()) {
-            void fetchFrom(from, told.revision);
+        else if (reported.revision > history.revision()) {
+            void fetchFrom(from, reported.revision);
         }
         opts.onHeard();
     }
 
     /**
-     * One fetch at a time: a hundred peers that all know more would otherwise all send it. The platform's watch is
-     * given a moment first, as it brings the same records to all entries that can reach it.
+     * Fetches what this entry lacks, one fetch at a time: a hundred peers that are all ahead would otherwise all send
+     * the same records. It waits first, as the platform's watch brings these records to all entries that can reach it.
      */
     async function fetchFrom(from: Peer, revision: number): Promise<void> {
         if (isFetching) {
@@ -94,7 +97,7 @@
             isFetching = false;
             return;
         }
-        const answer = await peers.request(from.boot, topics.fetch, digest(), fetchMs);
+        const answer = await peers.request(from.boot, topics.fetch, digest(), fetchTimeoutMs);
         isFetching = false;
         answer.ifRight((body) => {
             const fetched = fetchedSchema.safeParse(body).data;
@@ -116,29 +119,29 @@
         });
     }
 
-    function serve(body: unknown) {
-        const asked = digestSchema.safeParse(body).data;
+    function handleFetch(body: unknown) {
+        const known = digestSchema.safeParse(body).data;
         const applied = history.applied();
-        if (asked === undefined || applied === undefined || asked.revision >= history.revision()) {
+        if (known === undefined || applied === undefined || known.revision >= history.revision()) {
             return { kind: "nothing" };
         }
-        const part = history.after(asked.revision);
+        const part = history.after(known.revision);
         return part === undefined
             ? { kind: "snapshot", text: encodeSnapshot(applied) }
             : { kind: "records", part };
     }
 
-    peers.onMessage(topics.digest, hear);
-    peers.onRequest(topics.fetch, (_from, body) => Promise.resolve(serve(body)));
+    peers.onMessage(topics.digest, handleDigest);
+    peers.onRequest(topics.fetch, (_from, body) => Promise.resolve(handleFetch(body)));
     peers.onRequest(topics.ask, () => Promise.resolve(digest()));
 
     return {
         tell: () => peers.broadcast(topics.digest, digest()),
-        heard: () => heard,
+        heard: () => lastReports,
         async ask(boot, timeoutMs) {
             const peer = peers.connected().find((each) => each.boot === boot);
             const answer = await peers.request(boot, topics.ask, {}, timeoutMs);
-            answer.ifRight((body) => peer !== undefined && hear(peer, body));
+            answer.ifRight((body) => peer !== undefined && handleDigest(peer, body));
         },
         start() {
             timer = setInterval(() => peers.broadcast(topics.digest, digest()), opts.digestMs);
--- a/src/configuration/cutLog.ts
+++ b/src/configuration/cutLog.ts
@@ -11,50 +11,57 @@
     readonly history: History;
     readonly bounds: LogBounds;
     readonly log: LogValue;
-    /** Records of this entry that the log lacks; `undefined` where they are no longer kept. */
+    /** Records of this entry that the log lacks; `undefined` if they are no longer kept. */
     readonly missing: readonly CommandRecord[] | undefined;
+    /** New records to append. */
     readonly added: readonly CommandRecord[];
 }
 
 export interface CutLog {
     readonly next: LogValue;
-    /** The snapshot that the log named before, where it names another now. */
+    /** The snapshot that the log referred to before; `undefined` if there was none or it is still in use. */
     readonly replaced: SnapshotName | undefined;
 }
 
 /**
- * Builds the log with records added, cut behind a snapshot where it has grown long. Where the snapshot cannot be
- * written, the log stays uncut: the cut is tried again with the next record. Gives `undefined` where no log can be
- * built, as records are missing that only a snapshot could stand for.
+ * Builds the log with the added records. A log that exceeds its limits is compacted: a snapshot replaces its older
+ * records. If the snapshot cannot be written, the log is not compacted; the next append tries again. Returns
+ * `undefined` if no log can be built: records are no longer kept, and the snapshot that would replace them cannot be
+ * written.
  */
 export async function cutLog(opts: CutLogOptions): Promise<CutLog | undefined> {
     const { platform, history, log, missing, added } = opts;
     const { maxLogRecords, maxLogBytes, snapshotInterval } = opts.bounds;
-    const whole = missing === undefined ? undefined : { ...log, records: [...log.records, ...missing, ...added] };
-    if (whole !== undefined && whole.records.length <= maxLogRecords && encodeValue(whole).length <= maxLogBytes) {
-        return { next: whole, replaced: undefined };
+    const uncompacted = missing === undefined ? undefined : { ...log, records: [...log.records, ...missing, ...added] };
+    if (
+        uncompacted !== undefined && uncompacted.records.length <= maxLogRecords
+        && encodeValue(uncompacted).length <= maxLogBytes
+    ) {
+        return { next: uncompacted, replaced: undefined };
     }
-    // The newest records stay in the log: an entry whose watch skipped a few values then needs no snapshot.
-    const isLong = whole !== undefined && whole.records.length > maxLogRecords;
-    const target = Math.floor(history.revision() / snapshotInterval - 1) * snapshotInterval;
-    const checkpoint = isLong && target > log.baseRevision ? history.checkpointAt(target) : undefined;
-    const point = checkpoint ?? history.applied();
-    const next = point === undefined ? undefined : await cutAt(platform, history, point, added);
+    // The newest records stay in the log, so that an entry whose watch skipped a few values needs no snapshot.
+    const hasTooManyRecords = uncompacted !== undefined && uncompacted.records.length > maxLogRecords;
+    const targetRevision = Math.floor(history.revision() / snapshotInterval - 1) * snapshotInterval;
+    const checkpoint = hasTooManyRecords && targetRevision > log.baseRevision
+        ? history.checkpointAt(targetRevision)
+        : undefined;
+    const base = checkpoint ?? history.applied();
+    const next = base === undefined ? undefined : await compactAt(platform, history, base, added);
     if (next === undefined) {
-        return whole === undefined ? undefined : { next: whole, replaced: undefined };
+        return uncompacted === undefined ? undefined : { next: uncompacted, replaced: undefined };
     }
     return { next, replaced: log.snapshot?.key === next.snapshot?.key ? undefined : log.snapshot };
 }
 
-async function cutAt(
+async function compactAt(
     platform: Platform,
     history: History,
-    point: Applied,
+    base: Applied,
     added: readonly CommandRecord[],
 ): Promise<LogValue | undefined> {
-    const kept = history.after(point.state.revision);
-    const snapshot = kept === undefined ? undefined : await writeSnapshot(platform, point);
-    return kept === undefined || snapshot === undefined
+    const retained = history.after(base.state.revision);
+    const snapshot = retained === undefined ? undefined : await writeSnapshot(platform, base);
+    return retained === undefined || snapshot === undefined
         ? undefined
-        : { version: 1, ...kept, snapshot, records: [...kept.records, ...added] };
+        : { version: 1, ...retained, snapshot, records: [...retained.records, ...added] };
 }
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -1,4 +1,4 @@
-/** The log of accepted commands in the platform's service, followed by every entry. */
+/** The replicated log of accepted commands. It is stored in the platform's service and applied by every entry. */
 export type {
     AppendFailure,
     AppendRequest,
--- a/src/configuration/logValue.ts
+++ b/src/configuration/logValue.ts
@@ -5,15 +5,15 @@
 /** Key of the log in the platform's service. */
 export const logKey = "samphirepin/followed/log";
 
-/** How long the log may grow; the same at every entry. */
+/** Size limits of the log; they must be the same at every entry. */
 export interface LogBounds {
-    /** Snapshots stand at multiples of this revision, so that two writers make the same one. */
+    /** Checkpoints for snapshots are taken at multiples of this revision, so that two writers make the same one. */
     readonly snapshotInterval: number;
-    /** Records that the log keeps before it is cut behind a snapshot. */
+    /** Number of records above which the log is compacted: a snapshot replaces its older records. */
     readonly maxLogRecords: number;
-    /** Bytes of the log above which it is cut at its end. */
+    /** Encoded size above which the log is compacted at this entry's current revision. */
     readonly maxLogBytes: number;
-    /** Records that an entry keeps for peers that lag behind; older ones are served as a snapshot. */
+    /** Number of records that an entry keeps in memory for peers that lag; a peer that lags more gets a snapshot. */
     readonly maxKeptRecords: number;
 }
 
@@ -24,14 +24,14 @@
     maxKeptRecords: 256,
 };
 
-/** Where the state at the log's base stands; `undefined` where the base is the empty state. */
+/** Refers to the stored snapshot of the state at the log's base. */
 export interface SnapshotName {
     readonly key: string;
-    /** The snapshot's text is divided among this many keys, `KEY/0`, `KEY/1` and so on. */
+    /** The snapshot's text is split across this many keys: `KEY/0`, `KEY/1` and so on. */
     readonly parts: number;
 }
 
-/** Records that follow on one point of the chain. */
+/** Consecutive records that follow a base revision. */
 export interface LogPart {
     readonly baseRevision: number;
     /** Chained hash of the record ids up to `baseRevision`. */
@@ -42,6 +42,7 @@
 /** The value under `logKey`. */
 export interface LogValue extends LogPart {
     readonly version: 1;
+    /** The snapshot of the base; `undefined` if the base is the empty state. */
     readonly snapshot?: SnapshotName;
 }
 
@@ -55,7 +56,7 @@
     command: z.custom<CommandRecord["command"]>((value) => typeof value === "object" && value !== undefined),
 });
 
-/** Records as peers send them. */
+/** Format of records that peers send. */
 export const logPartSchema = z.object({
     baseRevision: z.number().int().nonnegative(),
     baseHash: z.string().max(64),
@@ -67,7 +68,7 @@
     snapshot: z.object({ key: z.string().max(256), parts: z.number().int().min(1).max(64) }).optional(),
 });
 
-/** Reads the text of a stored log; gives `undefined` where it is malformed or of another version. */
+/** Parses a stored log; returns `undefined` if the text is malformed or of another version. */
 export function parseLog(text: string): LogValue | undefined {
     return text === "" ? emptyLog : logSchema.safeParse(decodeValue(text)).data as LogValue | undefined;
 }
--- a/src/configuration/snapshot.ts
+++ b/src/configuration/snapshot.ts
@@ -5,7 +5,7 @@
 import { decodeValue, encodeValue } from "./encodeValue";
 import type { SnapshotName } from "./logValue";
 
-/** Bytes of one part; the service takes values up to 1 MB. */
+/** Limit of one part; the platform's service accepts values of up to 1 MB. */
 const maxPartBytes = 768 * 1024;
 
 const snapshotSchema = z.object({
@@ -25,7 +25,7 @@
     return encodeValue({ version: 1, hash, recentIds, state });
 }
 
-/** Reads a snapshot's text; gives `undefined` where it is malformed or of another version. */
+/** Decodes a snapshot; returns `undefined` if the text is malformed or of another version. */
 export function decodeSnapshot(text: string): Applied | undefined {
     const parsed = snapshotSchema.safeParse(decodeValue(text)).data;
     return parsed === undefined
@@ -34,9 +34,9 @@
 }
 
 /**
- * Writes a snapshot under keys that follow from its revision and hash, and that are never written again. Two writers
- * that make the same snapshot write the same keys, so that a writer which dies before it names its snapshot in the log
- * leaves nothing behind that nobody finds. Gives `undefined` where the platform did not take all of it.
+ * Writes a snapshot under keys that are derived from its revision and hash and are never overwritten. Two writers of
+ * the same snapshot use the same keys. So if a writer crashes before the log refers to its snapshot, the next writer of
+ * that snapshot reuses the keys and no orphan remains. Returns `undefined` if the platform did not store all parts.
  */
 export async function writeSnapshot(platform: Platform, applied: Applied): Promise<SnapshotName | undefined> {
     const text = encodeSnapshot(applied);
@@ -45,20 +45,20 @@
     for (let part = 0; part < parts; part++) {
         const slice = text.slice(part * maxPartBytes, (part + 1) * maxPartBytes);
         const written = await platform.compareAndSwap(`${key}/${part}`, 0, slice);
-        if (written.isLeft() && !(await holds(platform, `${key}/${part}`, slice))) {
+        if (written.isLeft() && !(await hasText(platform, `${key}/${part}`, slice))) {
             return undefined;
         }
     }
     return { key, parts };
 }
 
-/** After a conflict or a lost answer: true where the key holds this text, whoever wrote it. */
-async function holds(platform: Platform, key: string, text: string): Promise<boolean> {
+/** After a conflict or a lost response: whether the key hasText this text, whoever wrote it. */
+async function hasText(platform: Platform, key: string, text: string): Promise<boolean> {
     const read = await platform.read(key);
     return read.orDefault(undefined)?.text === text;
 }
 
-/** Reads a snapshot; gives `undefined` where the platform does not answer, or it is missing or malformed. */
+/** Reads a snapshot; returns `undefined` if the platform does not respond or the snapshot is missing or malformed. */
 export async function readSnapshot(platform: Platform, name: SnapshotName): Promise<Applied | undefined> {
     let text = "";
     for (let part = 0; part < name.parts; part++) {
@@ -71,7 +71,7 @@
     return decodeSnapshot(text);
 }
 
-/** Removes a snapshot that the log no longer names; what stays after a failure takes room and does no harm. */
+/** Removes a snapshot that the log no longer refers to. Parts that remain after a failure only take up space. */
 export async function removeSnapshot(platform: Platform, name: SnapshotName): Promise<void> {
     for (let part = 0; part < name.parts; part++) {
         await platform.remove(`${name.key}/${part}`);
--- a/src/configuration/test/configuration.steps.ts
+++ b/src/configuration/test/configuration.steps.ts
@@ -18,7 +18,7 @@
     clock: Clock;
     fleet: TestFleet;
     answers: Promise<Either<AppendFailure, number>>[];
-    broken: string[];
+    violations: string[];
 }
 
 setDefaultTimeout(60_000);
@@ -50,7 +50,7 @@
     return world.fleet.platform.values.get(logKey) ?? assert.fail("no log");
 }
 
-async function addAndLose(world: World, name: string): Promise<void> {
+async function addWithLostResponse(world: World, name: string): Promise<void> {
     world.fleet.platform.lostWriteAnswers = 1;
     world.answers.push(world.fleet.addPool(entry(world, 1), name));
     while (!world.fleet.platform.values.get(logKey)?.text.includes(`"${name}"`)) {
@@ -63,15 +63,15 @@
     await this.clock.tickAsync(15_000);
 });
 
-When("the answer of the next write is lost and entry 1 adds {string}", async function(this: World, name: string) {
-    await addAndLose(this, name);
+When("the response to the next write is lost and entry 1 adds {string}", async function(this: World, name: string) {
+    await addWithLostResponse(this, name);
     await this.clock.tickAsync(3000);
 });
 
 When(
-    "entry 1 adds {string}, its answer is lost, and entry 2 adds {int} pools before it looks",
+    "entry 1 adds {string}, its response is lost, and entry 2 adds {int} pools before entry 1 retries",
     async function(this: World, name: string, count: number) {
-        await addAndLose(this, name);
+        await addWithLostResponse(this, name);
         this.fleet.freeze(entry(this, 1));
         await addAll(this, entry(this, 2), count, "pool");
         this.fleet.wake(entry(this, 1));
@@ -80,9 +80,9 @@
 );
 
 When(
-    "entry 1 adds {string}, its answer is lost and the platform stays down",
+    "entry 1 adds {string}, its response is lost and the platform stays down",
     async function(this: World, name: string) {
-        await addAndLose(this, name);
+        await addWithLostResponse(this, name);
         this.fleet.platform.isDown = true;
         await this.clock.tickAsync(30_000);
     },
@@ -101,8 +101,8 @@
     "entry 2 adds {string} while a new entry reads a snapshot for its write of {string}",
     async function(this: World, other: string, own: string) {
         await addAll(this, entry(this, 2), 12, "pool");
-        const late = this.fleet.start("zone-a", slowSnapshots);
-        cutLinks(this, late);
+        const late = this.fleet.start("zone-a", delaySnapshotReads);
+        disconnectFromPeers(this, late);
         this.answers.push(this.fleet.addPool(late, own));
         await this.clock.tickAsync(20);
         this.answers.push(this.fleet.addPool(entry(this, 2), other));
@@ -110,11 +110,11 @@
     },
 );
 
-function cutLinks(world: World, { boot }: TestEntry): void {
+function disconnectFromPeers(world: World, { boot }: TestEntry): void {
     world.fleet.entries.forEach((other) => world.fleet.network.cuts.add(`${boot}>${other.boot}`));
 }
 
-Given("an entry with a late watch, and entry 2", async function(this: World) {
+Given("an entry with a delayed watch, and entry 2", async function(this: World) {
     this.fleet.start("zone-a", (inner) => ({
         ...inner,
         async watch(known, waitMs) {
@@ -128,23 +128,23 @@
 });
 
 When("an entry starts without a link to entry 1", async function(this: World) {
-    cutLinks(this, this.fleet.start());
+    disconnectFromPeers(this, this.fleet.start());
     await this.clock.tickAsync(1000);
 });
 
 When(
-    "an entry without links is frozen, entry 1 adds 5 pools across a cut, and it is woken",
+    "an entry without links is paused, entry 1 adds 5 pools across a compaction, and the first is resumed",
     async function(this: World) {
         const lagging = this.fleet.start("zone-a", (inner) => ({
             ...inner,
-            read: (key) => key.includes("snapshot") ? assert.fail("it read a snapshot") : inner.read(key),
+            read: (key) => key.includes("snapshot") ? assert.fail("the entry read a snapshot") : inner.read(key),
         }));
-        cutLinks(this, lagging);
+        disconnectFromPeers(this, lagging);
         await addAll(this, entry(this, 1), 6, "pool");
         this.fleet.freeze(lagging);
         await addAll(this, entry(this, 1), 5, "more");
         this.fleet.wake(lagging);
-        cutLinks(this, lagging);
+        disconnectFromPeers(this, lagging);
         await this.clock.tickAsync(1000);
     },
 );
@@ -158,7 +158,7 @@
     other.stop();
     const own = [...this.fleet.platform.values.keys()].filter(isSnapshot);
     own.forEach((key) => this.fleet.platform.values.set(key, foreign ?? assert.fail("no snapshot")));
-    cutLinks(this, this.fleet.start());
+    disconnectFromPeers(this, this.fleet.start());
     await this.clock.tickAsync(5000);
 });
 
@@ -166,9 +166,9 @@
     assert.deepEqual(this.fleet.entries.at(-1)?.applied(), []);
 });
 
-Then("it has applied all, and no snapshot was read", function(this: World) {
+Then("the resumed entry has applied all, and no snapshot was read", function(this: World) {
     const log = JSON.parse(storedLog(this).text) as { baseRevision: number; };
-    assert.ok(log.baseRevision > 0, "the log was not cut");
+    assert.ok(log.baseRevision > 0, "the log was not compacted");
     assertSame(this.fleet.live(), entry(this, 1).applied());
     assert.equal(entry(this, 1).applied().length, 11);
 });
@@ -185,8 +185,8 @@
     assert.ok(missing.some(({ boot }) => boot === entry(this, 3).boot));
 });
 
-/** Snapshots arrive after half a second, while the watch goes on. */
-function slowSnapshots(inner: Platform): Platform {
+/** Delays reads of snapshots by 500 ms; the watch is not delayed. */
+function delaySnapshotReads(inner: Platform): Platform {
     return {
         ...inner,
         async read(key) {
@@ -223,12 +223,15 @@
     await this.clock.tickAsync(1000);
 });
 
-When("the platform goes back over {int} accepted commands", async function(this: World, count: number) {
-    await addAll(this, entry(this, 1), 5, "kept");
-    const backup = this.fleet.backUp();
-    await addAll(this, entry(this, 1), count, "later");
-    this.fleet.restore(backup);
-});
+When(
+    "the platform is restored to its value before {int} accepted commands",
+    async function(this: World, count: number) {
+        await addAll(this, entry(this, 1), 5, "kept");
+        const backup = this.fleet.backUp();
+        await addAll(this, entry(this, 1), count, "later");
+        this.fleet.restore(backup);
+    },
+);
 
 When("{int} s pass", async function(this: World, seconds: number) {
     await this.clock.tickAsync(seconds * 1000);
@@ -243,7 +246,7 @@
     this.fleet.start();
 });
 
-When("entry {int} is cut off from the platform", async function(this: World, at: number) {
+When("entry {int} loses its connection to the platform", async function(this: World, at: number) {
     this.fleet.platform.cutOff.add(entry(this, at).boot);
     await this.clock.tickAsync(25_000);
 });
@@ -252,12 +255,12 @@
     this.answers.push(this.fleet.addPool(entry(this, 1), name));
 });
 
-When("entry 3 is frozen and entry 1 adds {int} pools one by one", async function(this: World, count: number) {
+When("entry 3 is paused and entry 1 adds {int} pools one by one", async function(this: World, count: number) {
     this.fleet.freeze(entry(this, 3));
     await addAll(this, entry(this, 1), count, "pool");
 });
 
-When("entry 3 is woken", function(this: World) {
+When("entry 3 is resumed", function(this: World) {
     this.fleet.wake(entry(this, 3));
 });
 
@@ -285,7 +288,7 @@
     await this.clock.tickAsync(1000);
 });
 
-When("entry 3 is cut off from everything for {int} s and linked again", async function(this: World, seconds: number) {
+When("entry 3 is isolated for {int} s and connected again", async function(this: World, seconds: number) {
     const { boot } = entry(this, 3);
     this.fleet.platform.cutOff.add(boot);
     this.fleet.network.frozen.add(boot);
@@ -300,12 +303,12 @@
     await sendMalformed(this.fleet, entry(this, 2), count, (ms) => this.clock.tickAsync(ms));
 });
 
-When("{int} schedules are run", async function(this: World, count: number) {
+When("{int} schedules of faults are run", async function(this: World, count: number) {
     this.clock.uninstall();
-    this.broken = [];
+    this.violations = [];
     for (let seed = 1; seed <= count; seed++) {
         const { violations } = await runSchedule(seed);
-        this.broken.push(...violations.map((violation) => `seed ${seed}: ${violation}`));
+        this.violations.push(...violations.map((violation) => `seed ${seed}: ${violation}`));
     }
 });
 
@@ -337,7 +340,7 @@
     assertSame(this.fleet.live(), entry(this, 1).applied());
 });
 
-Then("the log holds at most {int} records and names a snapshot", function(this: World, most: number) {
+Then("the log holds at most {int} records and refers to a snapshot", function(this: World, most: number) {
     const log = JSON.parse(storedLog(this).text) as { records: unknown[]; snapshot?: unknown; };
     assert.ok(log.records.length <= most, `${log.records.length} records`);
     assert.ok(log.snapshot !== undefined);
@@ -361,20 +364,20 @@
     assertSame(live, live[0]?.applied() ?? []);
 });
 
-Then("no entry has gone back", function(this: World) {
+Then("no entry has reverted to an older revision", function(this: World) {
     this.fleet.entries.forEach(({ revisions, configuration }) => {
         assert.deepEqual(revisions.slice(-3), [1, 2, 3]);
         assert.equal(configuration.state()?.revision, 3);
     });
 });
 
-Then("every entry has reported it", function(this: World) {
+Then("every entry has reported that the platform went back", function(this: World) {
     this.fleet.live().forEach(({ events, boot }) => {
         assert.ok(events.some((event) => event.kind === "platformWentBack" && event.key === logKey), boot);
     });
 });
 
-Then("every entry has reported the log", function(this: World) {
+Then("every entry has reported a refused log", function(this: World) {
     this.fleet.live().forEach(({ events }) => assert.ok(events.some(({ kind }) => kind === "valueRefused")));
 });
 
@@ -424,6 +427,6 @@
     assert.ok(entry(this, 2).events.some((event) => isRefusal(JSON.stringify(event))));
 });
 
-Then("no promise was broken", function(this: World) {
-    assert.deepEqual(this.broken, []);
+Then("no guarantee is violated", function(this: World) {
+    assert.deepEqual(this.violations, []);
 });
--- a/src/configuration/test/sendMalformed.ts
+++ b/src/configuration/test/sendMalformed.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { logKey, type TestEntry, type TestFleet } from "../../../bench/configuration/createTestFleet";
 
-/** Brings generated logs and messages to one entry, then the platform's true log again. */
+/** Delivers generated logs and messages to one entry, and then the platform's current log again. */
 export async function sendMalformed(
     fleet: TestFleet,
     target: TestEntry,
@@ -26,14 +26,14 @@
     });
     const part = fc.record({ baseRevision: fc.nat(4), baseHash: fc.string(), records: fc.array(record) });
     const { records, ...base } = JSON.parse(fleet.platform.values.get(logKey)?.text ?? "") as { records: unknown[]; };
-    const continued = fc.array(record, { maxLength: 1 }).map((more) =>
+    const extendedLog = fc.array(record, { maxLength: 1 }).map((more) =>
         JSON.stringify({ ...base, records: [...records, ...more] })
     );
     const log = fc.oneof(
         fc.json(),
         fc.string(),
         part.map((each) => JSON.stringify({ ...each, version: 1 })),
-        continued,
+        extendedLog,
     );
     const body = fc.oneof(fc.anything(), part, fc.record({ revision: fc.nat(), hash: fc.string() }));
     for (const [at, text] of fc.sample(log, { numRuns: count, seed: 1 }).entries()) {
@@ -51,7 +51,7 @@
     await pass(30_000);
 }
 
-/** The fake network cannot copy every generated value; such a one never leaves. */
+/** The fake network cannot copy every generated value; such a value is not sent. */
 function trySend(send: () => boolean): void {
     try {
         send();
