--- a/bench/limits/createFixedDivision.ts
+++ b/bench/limits/createFixedDivision.ts
@@ -40,7 +40,7 @@
     }
 
     return {
-        tryTake(team, size) {
+        tryAcquire(team, size) {
             const next = add(team, size, 1);
             const part = partOf(team);
             if (dimensions.some((name) => next[name] > part[name] + tolerance)) {
@@ -52,10 +52,10 @@
         release,
         releaseAfter: (hold, delayMs) => void setTimeout(() => release(hold), delayMs),
         isNeverPossible: () => false,
-        noteDemand() {},
-        hasRoom: () => false,
-        findPeerWithRoom: () => undefined,
-        onRoom(listener) {
+        recordDemand() {},
+        hasFreeCapacity: () => false,
+        findPeerWithCapacity: () => undefined,
+        onCapacityAvailable(listener) {
             listeners.add(listener);
             return () => listeners.delete(listener);
         },
--- a/bench/model/simulateFleet.ts
+++ b/bench/model/simulateFleet.ts
@@ -69,7 +69,7 @@
     let nowMs = 0;
     const consolidator = createConsolidator({
         board: state,
-        clocks: { steadyMs: () => nowMs, suspendAwareMs: () => nowMs },
+        clocks: { monotonicMs: () => nowMs, suspendAwareMs: () => nowMs },
         maxStopMs,
         stop(run) {
             run.phase = "stopping";
--- a/bench/once/createCluster.ts
+++ b/bench/once/createCluster.ts
@@ -1,7 +1,7 @@
 import { type Core, createCore } from "../../src/entry";
 import type { LogEvent } from "../../src/logging";
 import { createMetrics } from "../../src/metrics";
-import type { Once } from "../../src/once";
+import type { IdempotencyGuard } from "../../src/once";
 import type { Peer } from "../../src/peers";
 import { readSettings } from "../../src/settings";
 import type { TaskEnd, TaskRequest } from "../../src/tasks";
@@ -18,7 +18,7 @@
 
 /** A fault put into the entries on purpose, so that a judge can be seen to catch it. */
 export interface Defect {
-    readonly wrapOnce?: (once: Once) => Once;
+    readonly wrapOnce?: (once: IdempotencyGuard) => IdempotencyGuard;
     readonly wrapWorkers?: (workers: Workers) => Workers;
 }
 
--- a/bench/once/createGate.ts
+++ b/bench/once/createGate.ts
@@ -65,7 +65,7 @@
         renewLeases: (worker, renewal) => through(gate, () => workers.renewLeases(worker, renewal)),
         stopTask: (worker, attempt, mode) => through(gate, () => workers.stopTask(worker, attempt, mode)),
         readUsage: (worker) => through(gate, () => workers.readUsage(worker)),
-        notify: (worker, notice) => through(gate, () => workers.notify(worker, notice)),
+        sendCommand: (worker, notice) => through(gate, () => workers.sendCommand(worker, notice)),
         close: () => workers.close(),
     };
 }
--- a/bench/once/createOnceFleet.ts
+++ b/bench/once/createOnceFleet.ts
@@ -1,11 +1,11 @@
-import { createOnce, type Once } from "../../src/once";
+import { createIdempotencyGuard, type IdempotencyGuard } from "../../src/once";
 import type { Platform } from "../../src/platform";
 import { createFakeNetwork, createFakePlatform, type FakePlatform } from "../../standins/fakes";
 
 /** Entries of which only the guard against second runs is there, over a fake platform and fake links. */
 export interface OnceFleet {
     readonly platform: FakePlatform;
-    readonly entries: readonly { readonly once: Once; readonly platform: Platform; }[];
+    readonly entries: readonly { readonly once: IdempotencyGuard; readonly platform: Platform; }[];
 }
 
 export function createOnceFleet(count: number): OnceFleet {
@@ -20,11 +20,11 @@
             isGone: () => false,
             onChange: () => () => {},
         };
-        const once = createOnce({
+        const once = createIdempotencyGuard({
             boot,
             platform: client,
             peers: network.connect(peer),
-            members: members as unknown as Parameters<typeof createOnce>[0]["members"],
+            members: members as unknown as Parameters<typeof createIdempotencyGuard>[0]["members"],
         });
         return { once, platform: client };
     });
--- a/bench/shares/baselines.ts
+++ b/bench/shares/baselines.ts
@@ -5,7 +5,7 @@
     const waiting = new Map<string, Map<string, WaitingWork>>();
     return {
         addRunning() {},
-        noteFirstTurn() {},
+        recordFirstTurn() {},
         removeRunning() {},
         setWaiting(pool, team, work) {
             const teams = waiting.get(pool) ?? new Map<string, WaitingWork>();
@@ -22,10 +22,10 @@
             const ready = new Map([...all].filter(([team]) => ownTeams.includes(team)));
             return ready.size === 0 ? { kind: "nobody" } : { kind: "own", team: choose(pool, ready) };
         },
-        noteOffer() {},
+        recordOffer() {},
         contendedPools: () => [...waiting].filter(([, teams]) => teams.size > 0).map(([pool]) => pool),
         findReclaims: () => [],
-        isAtShare: () => false,
+        hasReachedShare: () => false,
         onChange: () => () => {},
         start() {},
         stop() {},
--- a/matrix/judge.ts
+++ b/matrix/judge.ts
@@ -1,5 +1,5 @@
 import type { TaskEnd } from "../src/tasks";
-import type { TaskOrder } from "../src/workers";
+import type { RunTaskRequest } from "../src/workers";
 import { maxUnavailable, teamLimits, type World } from "./createWorld";
 
 /** The ten promises, by the names that the reports use. */
@@ -72,11 +72,11 @@
             && sendings.every(({ end }) => end?.kind === "problem" && end.problem.outcome === "not run");
     }
 
-    function findCall(order: TaskOrder): CallRecord | undefined {
+    function findCall(order: RunTaskRequest): CallRecord | undefined {
         return calls.find(({ payload }) => payload === order.payload);
     }
 
-    function judgeStart(order: TaskOrder, instance: string, atMs: number): void {
+    function judgeStart(order: RunTaskRequest, instance: string, atMs: number): void {
         const call = findCall(order);
         const withdrawn = withdrawnAtMs.get(order.team);
         if (call !== undefined && withdrawn !== undefined && call.sentAtMs > withdrawn + graceMs) {
@@ -224,7 +224,7 @@
 
 export type Judge = ReturnType<typeof createJudge>;
 
-function sameRequest(calls: readonly CallRecord[], order: TaskOrder, call: CallRecord): boolean {
+function sameRequest(calls: readonly CallRecord[], order: RunTaskRequest, call: CallRecord): boolean {
     const other = calls.find(({ payload }) => payload === order.payload);
     return other !== undefined
         && (other === call || call.idempotencyKey !== undefined && other.idempotencyKey === call.idempotencyKey);
--- a/src/callers/createCallers.ts
+++ b/src/callers/createCallers.ts
@@ -7,7 +7,7 @@
 import type { Reporter } from "../logging";
 import type { Members } from "../members";
 import type { Metrics } from "../metrics";
-import type { Once } from "../once";
+import type { IdempotencyGuard } from "../once";
 import type { Peers } from "../peers";
 import type { FleetState } from "../state";
 import type { TaskEnd, TaskRequest, Tasks } from "../tasks";
@@ -19,7 +19,7 @@
     readonly boot: string;
     readonly configuration: Configuration;
     readonly tasks: Tasks;
-    readonly once: Once;
+    readonly once: IdempotencyGuard;
     readonly peers: Peers;
     readonly members: Members;
     readonly report: Reporter;
--- a/src/callers/test/callers.steps.ts
+++ b/src/callers/test/callers.steps.ts
@@ -12,7 +12,7 @@
 import { createSecret } from "../../keys";
 import type { Members } from "../../members";
 import { createMetrics } from "../../metrics";
-import type { Once } from "../../once";
+import type { IdempotencyGuard } from "../../once";
 import { createEmptyState } from "../../state";
 import type { TaskEnd, TaskRequest, Tasks } from "../../tasks";
 import { createCallers } from "../createCallers";
@@ -69,7 +69,7 @@
             },
             runningCount: () => 0,
         } satisfies Tasks,
-        once: {} as Once,
+        once: {} as IdempotencyGuard,
         peers: createFakeNetwork().connect(peer),
         members: { isGone: () => false } as unknown as Members,
         report: () => {},
--- a/src/configuration/snapshot.ts
+++ b/src/configuration/snapshot.ts
@@ -1,11 +1,11 @@
 import { z } from "zod";
 import type { Platform } from "../platform";
 import type { FleetState } from "../state";
-import { type Applied, maxRecentIds } from "./applied";
+import { type AppliedState, maxRecentIds } from "./appliedState";
 import { decodeValue, encodeValue } from "./encodeValue";
-import type { SnapshotName } from "./logValue";
+import type { SnapshotRef } from "./logValue";
 
-/** Bytes of one part; the service takes values up to 1 MB. */
+/** Limit of one part; the platform's service accepts values of up to 1 MB. */
 const maxPartBytes = 768 * 1024;
 
 const snapshotSchema = z.object({
@@ -21,12 +21,12 @@
     }),
 });
 
-export function encodeSnapshot({ hash, recentIds, state }: Applied): string {
+export function encodeSnapshot({ hash, recentIds, state }: AppliedState): string {
     return encodeValue({ version: 1, hash, recentIds, state });
 }
 
-/** Reads a snapshot's text; gives `undefined` where it is malformed or of another version. */
-export function decodeSnapshot(text: string): Applied | undefined {
+/** Decodes a snapshot; returns `undefined` if the text is malformed or of another version. */
+export function decodeSnapshot(text: string): AppliedState | undefined {
     const parsed = snapshotSchema.safeParse(decodeValue(text)).data;
     return parsed === undefined
         ? undefined
@@ -34,32 +34,32 @@
 }
 
 /**
- * Writes a snapshot under keys that follow from its revision and hash, and that are never written again. Two writers
- * that make the same snapshot write the same keys, so that a writer which dies before it names its snapshot in the log
- * leaves nothing behind that nobody finds. Gives `undefined` where the platform did not take all of it.
+ * Writes a snapshot under keys that are derived from its revision and hash and are never overwritten. Two writers of
+ * the same snapshot use the same keys. So if a writer crashes before the log refers to its snapshot, the next writer of
+ * that snapshot reuses the keys and no orphan remains. Returns `undefined` if the platform did not store all parts.
  */
-export async function writeSnapshot(platform: Platform, applied: Applied): Promise<SnapshotName | undefined> {
+export async function writeSnapshot(platform: Platform, applied: AppliedState): Promise<SnapshotRef | undefined> {
     const text = encodeSnapshot(applied);
     const key = `samphirepin/snapshot/${applied.state.revision}-${applied.hash}`;
     const parts = Math.max(1, Math.ceil(text.length / maxPartBytes));
     for (let part = 0; part < parts; part++) {
         const slice = text.slice(part * maxPartBytes, (part + 1) * maxPartBytes);
         const written = await platform.compareAndSwap(`${key}/${part}`, 0, slice);
-        if (written.isLeft() && !(await holds(platform, `${key}/${part}`, slice))) {
+        if (written.isLeft() && !(await hasText(platform, `${key}/${part}`, slice))) {
             return undefined;
         }
     }
     return { key, parts };
 }
 
-/** After a conflict or a lost answer: true where the key holds this text, whoever wrote it. */
-async function holds(platform: Platform, key: string, text: string): Promise<boolean> {
+/** After a conflict or a lost response: whether the key hasText this text, whoever wrote it. */
+async function hasText(platform: Platform, key: string, text: string): Promise<boolean> {
     const read = await platform.read(key);
     return read.orDefault(undefined)?.text === text;
 }
 
-/** Reads a snapshot; gives `undefined` where the platform does not answer, or it is missing or malformed. */
-export async function readSnapshot(platform: Platform, name: SnapshotName): Promise<Applied | undefined> {
+/** Reads a snapshot; returns `undefined` if the platform does not respond or the snapshot is missing or malformed. */
+export async function readSnapshot(platform: Platform, name: SnapshotRef): Promise<AppliedState | undefined> {
     let text = "";
     for (let part = 0; part < name.parts; part++) {
         const stored = (await platform.read(`${name.key}/${part}`)).orDefault(undefined);
@@ -71,8 +71,8 @@
     return decodeSnapshot(text);
 }
 
-/** Removes a snapshot that the log no longer names; what stays after a failure takes room and does no harm. */
-export async function removeSnapshot(platform: Platform, name: SnapshotName): Promise<void> {
+/** Removes a snapshot that the log no longer refers to. Parts that remain after a failure only take up space. */
+export async function removeSnapshot(platform: Platform, name: SnapshotRef): Promise<void> {
     for (let part = 0; part < name.parts; part++) {
         await platform.remove(`${name.key}/${part}`);
     }
--- a/src/daemon/createDaemon.ts
+++ b/src/daemon/createDaemon.ts
@@ -1,13 +1,13 @@
 import { ServiceBroker } from "moleculer";
 import { randomUUID } from "node:crypto";
 import {
-    createAdvice,
-    createClientSurface,
+    createAdviceClient,
+    createClientApiHandler,
     createHttpService,
     createJsonCaller,
-    createMachines,
+    createMachineApi,
     createStore,
-    createTaskWorkers,
+    createWorkerApi,
     encodeWaveStatus,
     type NodeSettings,
     policyDecoder,
@@ -30,58 +30,64 @@
 import { createScheduler, type Scheduler } from "../scheduler";
 import { createRelayedStore } from "../store";
 import { createRecordWriter, createSubmissionApi } from "../submissions";
-import { createOwnerView } from "./createOwnerView";
+import { createLeaderQueries } from "./createLeaderQueries";
 
 export interface Daemon {
     start(): Promise<void>;
-    /** Hands over, answers what is under way, and ends within the grace time. */
+    /** Gives up leadership, answers open requests, and ends within the grace period. */
     stop(): Promise<void>;
 }
 
 export interface DaemonOptions {
     readonly settings: NodeSettings;
-    /** Takes every event for the log. */
+    /** Receives every log event. */
     readonly report: Reporter;
-    /** Log lines left out since the start. */
+    /** Number of log lines dropped since the start. */
     readonly droppedLines: () => number;
 }
 
-/** Connections to the store: waiting watches, writes in groups, renewals and reads of clients' requests. */
+/** Connections to the store, for long-polling watches, batched writes, lease renewals and reads for clients. */
 const storeConnections = 16;
 
-/** Connections to each worker; a waiting look takes one, orders share the others. */
+/** Connections to each worker. A long poll occupies one; start and stop requests share the others. */
 const workerConnections = 5;
 
 /**
- * How long a worker may take to answer, in milliseconds. It answers within 10 ms; what takes this long was lost, and a
- * task whose start was lost waits for nothing. Longer than the 120 ms by which a slow entry's timers may be late.
+ * Response timeout of a worker, in milliseconds. A worker answers within 10 ms, so a call that takes this long was
+ * lost; a longer timeout would only delay a task whose start request was lost. The timeout must exceed the 120 ms by
+ * which the timers of a slow entry may be late.
  */
 const workerAnswerTimeoutMs = 250;
 
-/** Links between entries are used this often, and a peer counts as silent after this, in milliseconds. */
+/** Heartbeat interval on links between entries, in milliseconds. */
 const peerHeartbeatMs = 500;
+
+/** Time without a message after which a peer counts as silent, in milliseconds. */
 const peerSilenceMs = 1500;
 
-/** Bodies above this are refused; the operators' limit is below it. */
+/** Larger request bodies are refused, in bytes. The limit that operators configure is lower. */
 const maxBodyBytes = 1024 * 1024;
 
-/** After SIGTERM the balancer needs two missed questions, one a second, to stop sending clients, in milliseconds. */
+/**
+ * Time from SIGTERM until the load balancer sends no more clients, in milliseconds. It stops after two failed readiness
+ * probes, and it probes once per second.
+ */
 const leaveRotationMs = 2500;
 
-/** Left of the grace time when the process ends, in milliseconds. */
+/** Remainder of the grace period when the process ends, in milliseconds. */
 const exitMarginMs = 500;
 
-/** The one module that wires the parts of a daemon on the users' platform. */
+/** Creates a daemon on the users' platform. Its parts are wired together only here. */
 export function createDaemon({ settings, report: log, droppedLines }: DaemonOptions): Daemon {
     const metrics = createEventMetrics({
-        policyAgeMs: () => policyFeed.ageMs(),
-        evacuatedZones: () => policyFeed.evacuatedZones().size,
-        dutyToken: () => duty.tenure()?.token,
+        policyAgeMs: () => policyWatcher.ageMs(),
+        evacuatedZones: () => policyWatcher.evacuatedZones().size,
+        dutyToken: () => leaderElection.tenure()?.token,
         droppedLines,
         openRequests: () => openRequests,
     });
     const report: Reporter = (event) => {
-        metrics.count(event);
+        metrics.record(event);
         log(event);
     };
     const clocks = createClocks();
@@ -107,35 +113,36 @@
         direct: createStore(callStore, settings.storeAddress),
         peers,
         nowMs: clocks.suspendAwareMs,
-        onPathChange: (path, detail) => report({ kind: "note", slice: "store", message: `calls go ${path}`, detail }),
+        onPathChange: (path, detail) =>
+            report({ kind: "note", slice: "store", message: `store calls take the ${path} path`, detail }),
     });
-    const machines = createMachines(callWorker, settings.machinesAddress);
-    const advice = createAdvice(callWorker, settings.adviceAddress);
-    const lagGuard = createLagMonitor();
+    const machineApi = createMachineApi(callWorker, settings.machinesAddress);
+    const adviceClient = createAdviceClient(callWorker, settings.adviceAddress);
+    const lagMonitor = createLagMonitor();
     const loadMeter = createLoadMeter((isBusy) =>
-        report({ kind: "note", slice: "load", message: isBusy ? "this entry is busy" : "this entry is busy no more" })
+        report({ kind: "note", slice: "load", message: isBusy ? "this entry is busy" : "this entry is no longer busy" })
     );
     const workerApi = createRelayedWorkerApi({
-        direct: createTaskWorkers(callWorker, workerAnswerTimeoutMs),
+        direct: createWorkerApi(callWorker, workerAnswerTimeoutMs),
         peers,
         isBusy: loadMeter.isBusy,
-        nowMs: clocks.steadyMs,
+        nowMs: clocks.monotonicMs,
     });
     let scheduler: Scheduler | undefined;
-    const policyFeed = createPolicyWatcher({
+    const policyWatcher = createPolicyWatcher({
         store,
         decoder: policyDecoder,
         clocks,
         report,
         onChange: () => scheduler?.policyChanged(),
     });
-    const duty = createLeaderElection({
+    const leaderElection = createLeaderElection({
         store,
         clocks,
         holder: { boot, instance: settings.instance },
         report,
         minTtlMs: settings.minLeaseTtlMs,
-        fitness: () => store.isRelayOnly() ? "turnedAway" : lagGuard.isSlow() ? "slow" : "fit",
+        fitness: () => store.isRelayOnly() ? "turnedAway" : lagMonitor.isSlow() ? "slow" : "fit",
         onGained: beginTenure,
         onLost() {
             scheduler?.stop();
@@ -146,7 +153,7 @@
         store,
         clocks,
         self: { ...self, strength: computeStrength(settings.cores, settings.linkMbps) },
-        duty,
+        duty: leaderElection,
         onPeers(others) {
             const links = chooseLinks({ self: boot, others, leader: presence.leaderBoot() });
             peers.setAddresses(links.map(({ peerUrl }) => peerUrl));
@@ -157,8 +164,8 @@
         scheduler = createScheduler({
             store,
             workerApi,
-            machines,
-            advice,
+            machines: machineApi,
+            advice: adviceClient,
             decoder: workerDecoder,
             tenure,
             holder: settings.instance,
@@ -167,33 +174,33 @@
             bounds: {
                 maxLeaseMs: settings.maxRunLeaseMs,
                 keepFinishedMs: settings.keepFinishedMs,
-                machineTurnMs: settings.machineTurnMs,
+                machineTurnMs: settings.minMachineHandoverMs,
                 maintenanceMs: settings.maintenanceMs,
                 moveMs: settings.moveMs,
                 maxStopMs: settings.maxStopMs,
                 machineOrdersPerSecond: settings.machineOrdersPerSecond,
             },
-            policy: policyFeed.policy,
-            waves: policyFeed.waves,
-            evacuatedZones: policyFeed.evacuatedZones,
-            isPolicyFresh: () => isFreshEnoughToStart(policyFeed.ageMs(), settings.evacuateMs),
+            policy: policyWatcher.policy,
+            waves: policyWatcher.waves,
+            evacuatedZones: policyWatcher.evacuatedZones,
+            isPolicyFresh: () => isFreshEnoughToStart(policyWatcher.ageMs(), settings.evacuateMs),
             async reportWave(wave, isComplete) {
                 const put = encodeWaveStatus(wave, isComplete);
                 const result = await store.commit({ conditions: [tenure.condition], puts: [put], deletes: [] });
                 return result.kind === "committed";
             },
-            onFenced: () => duty.onFenced(),
+            onFenced: () => leaderElection.onFenced(),
         });
         void scheduler.start();
     }
 
-    const door = createSubmissionApi({
-        policySource: policyFeed,
+    const submissionApi = createSubmissionApi({
+        policySource: policyWatcher,
         store,
-        writer: createRecordWriter(store, clocks.steadyMs),
-        leader: createOwnerView({ peers, ownerBoot: presence.leaderBoot, scheduler: () => scheduler }),
+        writer: createRecordWriter(store, clocks.monotonicMs),
+        leader: createLeaderQueries({ peers, leaderBoot: presence.leaderBoot, scheduler: () => scheduler }),
         report,
-        steadyMs: clocks.steadyMs,
+        steadyMs: clocks.monotonicMs,
         revokeMs: settings.revokeMs,
     });
     const broker = new ServiceBroker({
@@ -206,8 +213,9 @@
     let openRequests = 0;
 
     function isReady(): boolean {
-        const ageMs = policyFeed.ageMs();
-        return !isStopping && policyFeed.policy() !== undefined && ageMs !== undefined && ageMs < settings.revokeMs / 2;
+        const ageMs = policyWatcher.ageMs();
+        return !isStopping && policyWatcher.policy() !== undefined && ageMs !== undefined
+            && ageMs < settings.revokeMs / 2;
     }
 
     function createServices(): void {
@@ -215,14 +223,14 @@
             name: "clients",
             listen: settings.clientAddress,
             maxBodyBytes,
-            handle: createClientSurface(door),
+            handle: createClientApiHandler(submissionApi),
             isClosing: () => isStopping,
-            onOpen: () => openRequests++,
-            onDone: () => openRequests--,
+            onRequestStart: () => openRequests++,
+            onRequestEnd: () => openRequests--,
         }));
         broker.createService(createHttpService({
             name: "readiness",
-            listen: settings.readyAddress,
+            listen: settings.readinessAddress,
             maxBodyBytes,
             handle: () => isReady() ? { status: 200, text: "ready\n" } : { status: 503, text: "not ready\n" },
         }));
@@ -234,9 +242,9 @@
         }));
     }
 
-    async function answerRest(): Promise<void> {
-        const endMs = clocks.steadyMs() + settings.graceMs - exitMarginMs - leaveRotationMs;
-        while (openRequests > 0 && clocks.steadyMs() < endMs) {
+    async function waitForOpenRequests(): Promise<void> {
+        const deadlineMs = clocks.monotonicMs() + settings.graceMs - exitMarginMs - leaveRotationMs;
+        while (openRequests > 0 && clocks.monotonicMs() < deadlineMs) {
             await pause(50);
         }
     }
@@ -245,21 +253,21 @@
         async start() {
             createServices();
             await Promise.all([broker.start(), peers.start()]);
-            policyFeed.start();
+            policyWatcher.start();
             presence.start();
-            lagGuard.start();
+            lagMonitor.start();
             loadMeter.start();
-            duty.start();
+            leaderElection.start();
             report({ kind: "started", boot, zone: settings.zone, region: settings.region });
         },
         async stop() {
             report({ kind: "stopping", runningTasks: openRequests });
             isStopping = true;
-            await duty.resign();
+            await leaderElection.resign();
             await pause(leaveRotationMs);
-            await answerRest();
-            duty.stop();
-            policyFeed.stop();
+            await waitForOpenRequests();
+            leaderElection.stop();
+            policyWatcher.stop();
             await Promise.race([presence.stop(), pause(exitMarginMs / 2)]);
             report({ kind: "stopped" });
         },
--- a/src/dispatch/createWaitingRoom.ts
+++ b/src/dispatch/createAdmissionQueue.ts
@@ -2,53 +2,57 @@
 import type { Reporter } from "../logging";
 import type { Shares } from "../shares";
 import type { TaskEnd } from "../tasks";
-import { createDeadlines } from "./createDeadlines";
-import { createEnd, createWaitingEnd } from "./createEnds";
+import { checkAdmission, type CheckAdmissionOptions } from "./checkAdmission";
 import type { TaskQueues, TeamQueue } from "./createTaskQueues";
+import { createTimerWheel } from "./createTimerWheel";
+import { createProblemEnd, createWaitingTaskEnd } from "./decideNextStep";
 import type { DispatchRequest } from "./dispatch";
-import { findRefusal, type FindRefusalOptions } from "./findRefusal";
-import { retryAfterSeconds } from "./queueEstimates";
+import { estimateRetryAfterSeconds } from "./queueEstimates";
 import type { WaitingTask } from "./waitingTask";
 
-export interface WaitingRoomOptions extends FindRefusalOptions {
+export interface AdmissionQueueOptions extends CheckAdmissionOptions {
     readonly queues: TaskQueues;
     readonly shares: Shares;
     readonly report: Reporter;
-    /** Called with the pool in which a task has begun to wait. */
-    readonly onArrival: (pool: string) => void;
-    /** Called where a task that no longer waits is cancelled. */
+    /** Called with the pool for which a task was queued. */
+    readonly onQueued: (pool: string) => void;
+    /** Called if a task is canceled that no longer waits. */
     readonly onCancelRunning: (waiting: WaitingTask) => void;
 }
 
-/** Tasks that wait, from their arrival until their turn or their end. */
-export interface WaitingRoom {
-    /** Takes a task or refuses it; resolves with its end. */
+/** Tasks that wait, from their arrival until they are taken out to start or end. */
+export interface AdmissionQueue {
+    /** Queues a task or refuses it; resolves with its end. */
     admit(request: DispatchRequest): Promise<TaskEnd>;
-    /** Puts a task back in front that had its turn and could not run. */
-    putBack(waiting: WaitingTask): void;
-    /** Takes a task out; false where it was not waiting. */
+    /** Requeues a task at the front that was selected but could not run or has to run again. */
+    requeue(waiting: WaitingTask): void;
+    /** Removes a task from its queue; returns false if it was not waiting. */
     take(waiting: WaitingTask): boolean;
-    /** Ends a task that no longer waits with what is known of it. */
-    refuse(waiting: WaitingTask, code: ProblemCode, detail: string, comeBack?: number): void;
-    /** Tells the shares what waits in the queue now. */
-    tell(queue: TeamQueue): void;
+    /**
+     * Ends a task that was taken out: with the end of its latest attempt if there is one, otherwise with the given
+     * problem.
+     */
+    refuse(waiting: WaitingTask, code: ProblemCode, detail: string, retryAfterS?: number): void;
+    /** Updates the shares with the queue's waiting work. */
+    publishWaiting(queue: TeamQueue): void;
     stop(): void;
 }
 
-/** Longest that a task waits, whatever its deadline, in milliseconds. */
+/** Maximum waiting time of a task, whatever its deadline, in milliseconds. */
 export const maxWaitingMs = 10 * 60 * 1000;
 
-export function createWaitingRoom(opts: WaitingRoomOptions): WaitingRoom {
+/** Admits or refuses arriving tasks, and ends waiting ones when they are canceled or their deadline passes. */
+export function createAdmissionQueue(opts: AdmissionQueueOptions): AdmissionQueue {
     const { queues, shares } = opts;
-    const deadlines = createDeadlines<WaitingTask>(expire);
+    const deadlines = createTimerWheel<WaitingTask>(expire);
 
     function admit(request: DispatchRequest): Promise<TaskEnd> {
         const { task, signal } = request;
-        const refused = findRefusal(request, opts);
+        const refused = checkAdmission(request, opts);
         if (refused !== undefined) {
-            const { code, detail, comeBack } = refused;
+            const { code, detail, retryAfterSeconds: retryAfterS } = refused;
             reportRefused(request, code, detail);
-            return Promise.resolve(createEnd(code, detail, Outcome.NotRun, comeBack));
+            return Promise.resolve(createProblemEnd(code, detail, Outcome.NotRun, retryAfterS));
         }
         return new Promise((resolve) => {
             const nowMs = Date.now();
@@ -57,12 +61,12 @@
                 ...request,
                 arrivedAtMs: nowMs,
                 expiresAtMs: Math.min(task.deadlineAtMs, nowMs + maxWaitingMs),
-                tried: new Set(),
+                excludedInstances: new Set(),
                 turns: 0,
-                startedTries: 0,
+                startedAttempts: 0,
                 isClaimed: false,
                 isEnded: false,
-                lacksRoom: false,
+                isLimitReached: false,
                 end(end) {
                     if (!waiting.isEnded) {
                         waiting.isEnded = true;
@@ -79,28 +83,27 @@
     function enqueue(waiting: WaitingTask, inFront: boolean): void {
         const queue = inFront ? queues.addInFront(waiting) : queues.add(waiting);
         deadlines.add(waiting, waiting.expiresAtMs);
-        tell(queue);
-        opts.onArrival(waiting.task.pool);
+        publish(queue);
+        opts.onQueued(waiting.task.pool);
     }
 
-    /** Takes a task out of its queue; false where it was not waiting. */
     function take(waiting: WaitingTask): boolean {
         const queue = queues.remove(waiting);
         if (queue === undefined) {
             return false;
         }
         deadlines.remove(waiting, waiting.expiresAtMs);
-        tell(queue);
+        publish(queue);
         return true;
     }
 
-    function tell(queue: TeamQueue): void {
+    function publish(queue: TeamQueue): void {
         shares.setWaiting(queue.pool, queue.team, queue.waitingWork());
     }
 
-    function refuse(waiting: WaitingTask, code: ProblemCode, detail: string, comeBack?: number): void {
+    function refuse(waiting: WaitingTask, code: ProblemCode, detail: string, retryAfterS?: number): void {
         reportRefused(waiting, code, detail);
-        waiting.end(waiting.lastEnd ?? createWaitingEnd(waiting, code, detail, comeBack));
+        waiting.end(waiting.lastEnd ?? createWaitingTaskEnd(waiting, code, detail, retryAfterS));
     }
 
     function expire(waiting: WaitingTask): void {
@@ -108,18 +111,18 @@
         if (!take(waiting)) {
             return;
         }
-        const comeBack = retryAfterSeconds(queue);
-        if (waiting.lacksRoom) {
-            refuse(waiting, "LIMIT_REACHED", "the team's upper limit left no room in time", comeBack);
+        const retryAfterS = estimateRetryAfterSeconds(queue);
+        if (waiting.isLimitReached) {
+            refuse(waiting, "LIMIT_REACHED", "the team's limit had no free capacity in time", retryAfterS);
         }
         else {
-            refuse(waiting, "DEADLINE_PASSED", "no worker was free in time", comeBack);
+            refuse(waiting, "DEADLINE_PASSED", "no worker was free in time", retryAfterS);
         }
     }
 
     function cancel(waiting: WaitingTask): void {
         if (take(waiting)) {
-            refuse(waiting, "CANCELLED", "cancelled while it waited");
+            refuse(waiting, "CANCELLED", "canceled while it waited");
             return;
         }
         opts.onCancelRunning(waiting);
@@ -133,10 +136,10 @@
 
     return {
         admit,
-        putBack: (waiting) => enqueue(waiting, true),
+        requeue: (waiting) => enqueue(waiting, true),
         take,
         refuse,
-        tell,
+        publishWaiting: publish,
         stop: () => deadlines.stop(),
     };
 }
--- a/src/executor/advanceInstance.ts
+++ b/src/executor/advanceInstance.ts
@@ -60,7 +60,7 @@
     // that work.
     const isConfirmed = usage.assignmentNumber === assignmentNumber && usage.state !== "serving";
     if (!isConfirmed) {
-        await workers.notify(worker, { kind: "drain", assignmentNumber });
+        await workers.sendCommand(worker, { kind: "drain", assignmentNumber });
     }
     else if (usage.runningTasks === 0 && usage.state === "draining") {
         return { kind: "finishDrain", ...base };
@@ -109,7 +109,7 @@
         return { kind: "beginProving", ...base };
     }
     if (usage.state !== "rebooting") {
-        await workers.notify(worker, { kind: "reboot", assignmentNumber: base.assignmentNumber });
+        await workers.sendCommand(worker, { kind: "reboot", assignmentNumber: base.assignmentNumber });
     }
     return lateMs > policy.returnDeadlineMs
         ? { kind: "fail", detail: "it did not come back from its reboot", ...base }
@@ -127,7 +127,7 @@
     const base = { instance: name, assignmentNumber };
     if (usage.assignmentNumber !== assignmentNumber || usage.state !== "serving") {
         goodAnswers.delete(check);
-        await workers.notify({ instance: name, url }, { kind: "serve", assignmentNumber, pool });
+        await workers.sendCommand({ instance: name, url }, { kind: "serve", assignmentNumber, pool });
         return lateMs > policy.returnDeadlineMs ? { kind: "fail", detail: "it does not serve", ...base } : undefined;
     }
     const good = (goodAnswers.get(check) ?? 0) + 1;
--- a/src/forwarding/createForwardedRuns.ts
+++ b/src/forwarding/handleForwardedTasks.ts
@@ -3,21 +3,24 @@
 import type { Peer, Peers } from "../peers";
 import { cancelSchema, forwardingTopics, type RunAnswer, type RunMessage, runSchema } from "./messages";
 
-export interface ForwardedRunsOptions {
+export interface HandleForwardedTasksOptions {
     readonly dispatch: Dispatch;
     readonly limits: Limits;
     readonly peers: Peers;
 }
 
-/** The room was there a moment ago; a task that does not start within this goes back to where it came from. */
+/**
+ * Maximum waiting time of a forwarded task, in milliseconds. There was free capacity when it was sent, so a task that
+ * doesn't start in this time goes back to its sender.
+ */
 const maxWaitMs = 1000;
 
-/** Runs tasks that other entries pass on. They are never passed on again, so that none can go round in circles. */
-export function createForwardedRuns(opts: ForwardedRunsOptions): void {
+/** Runs tasks that other entries forward. They are never forwarded again, so that no task can loop between entries. */
+export function handleForwardedTasks(opts: HandleForwardedTasksOptions): void {
     const running = new Map<string, AbortController>();
 
     async function run(from: Peer, message: RunMessage): Promise<RunAnswer> {
-        if (!opts.limits.hasRoom(message.team, message.size)) {
+        if (!opts.limits.hasFreeCapacity(message.team, message.size)) {
             return { kind: "noRoom" };
         }
         const name = `${from.boot}\n${message.id}`;
--- a/src/once/createOnce.ts
+++ b/src/once/createIdempotencyGuard.ts
@@ -5,78 +5,88 @@
 import type { Platform } from "../platform";
 import type { TaskEnd, TaskRequest } from "../tasks";
 import { type BucketSettings, defaultBucketSettings } from "./bucketSettings";
-import type { TakenClaim } from "./createBucketHome";
+import type { TakenClaim } from "./createBucketCommitter";
 import { createClaims } from "./createClaims";
-import { createHolderAsker } from "./createHolderAsker";
-import { createMemory, type Memory, type Run, waitForEnd } from "./createMemory";
-import { createTicketForwarder, shrinkEnd } from "./createTicketForwarder";
-import { createTickets, readTicketBoot } from "./createTickets";
+import { createHolderQuery } from "./createHolderQuery";
+import { createRunTable, type Run, type RunTable, waitForEnd } from "./createRunTable";
+import { createTicketForwarder, replaceOversizedAnswer } from "./createTicketForwarder";
+import { createTickets, parseTicketIssuer } from "./createTickets";
 import { fingerprintRequest, hashKey } from "./hashKey";
+import { idempotencyEnds, isNotRun, withNewKeyHint, withUnknownOutcome } from "./idempotencyEnds";
+import type { Admission, Claim, IdempotencyGuard } from "./idempotencyGuard";
 import { askMessageSchema, topics } from "./messages";
-import type { Admission, Claim, Once } from "./once";
-import { isNotRun, onceEnds, withSpentHint, withUnknownHistory } from "./onceEnds";
 
-export interface OnceOptions {
+export interface IdempotencyGuardOptions {
     readonly boot: string;
     readonly platform: Platform;
     readonly peers: Peers;
     readonly members: Members;
     readonly buckets?: BucketSettings;
-    readonly limits?: OnceLimits;
+    readonly limits?: IdempotencyLimits;
 }
 
-/** Bounds of what one entry keeps in memory. */
-export interface OnceLimits {
-    /** Keys that callers chose; their claims are durable, so that the oldest may be forgotten. */
+/** Limits of what one entry keeps in memory. */
+export interface IdempotencyLimits {
+    /** Maximum runs of keys that callers chose; their claims are durable, so the oldest runs may be evicted. */
     readonly maxKeyRuns: number;
-    /** Used tickets; none is forgotten before it has expired. */
+    /** Maximum runs of tickets; none is evicted before its ticket has expired. */
     readonly maxTicketRuns: number;
-    /** Characters of answers kept for each of the two. */
+    /** Maximum total length of answers kept, in characters, for runs of chosen keys and of tickets each. */
     readonly maxAnswerBytes: number;
-    readonly keptMs: number;
+    readonly retentionMs: number;
     readonly ticketLifetimeMs: number;
 }
 
-export const defaultOnceLimits: OnceLimits = {
+export const defaultIdempotencyLimits: IdempotencyLimits = {
     maxKeyRuns: 20_000,
     maxTicketRuns: 50_000,
     maxAnswerBytes: 8 * 1024 * 1024,
-    keptMs: 600_000,
+    retentionMs: 600_000,
     ticketLifetimeMs: 600_000,
 };
 
-const askWaitMs = 5000;
+const outcomeLongPollMs = 5000;
 const unreachableMs = 3000;
 
-/** Claims keys that callers chose at the platform, and keeps this entry's own tickets in memory. */
-export function createOnce(opts: OnceOptions): Once {
+/** Claims keys that callers chose on the platform, and tracks the tickets that this entry issued in memory. */
+export function createIdempotencyGuard(opts: IdempotencyGuardOptions): IdempotencyGuard {
     const { boot, peers, members } = opts;
-    const limits = opts.limits ?? defaultOnceLimits;
+    const limits = opts.limits ?? defaultIdempotencyLimits;
     const claims = createClaims({ platform: opts.platform, peers, settings: opts.buckets ?? defaultBucketSettings });
     const tickets = createTickets({ boot, lifetimeMs: limits.ticketLifetimeMs });
-    const forwarder = createTicketForwarder({ peers, members, askWaitMs, unreachableMs });
-    const askHolder = createHolderAsker({ peers, members, askWaitMs, unreachableMs });
-    const kept = { maxAnswerBytes: limits.maxAnswerBytes, forgottenAnswer: onceEnds.answerNotKept() };
-    const keyRuns = createMemory({ ...kept, maxRuns: limits.maxKeyRuns, keptMs: limits.keptMs, mayForgetEarly: true });
-    const ticketRuns = createMemory({
-        ...kept,
+    const forwarder = createTicketForwarder({ peers, members, longPollMs: outcomeLongPollMs, unreachableMs });
+    const queryHolder = createHolderQuery({ peers, members, longPollMs: outcomeLongPollMs, unreachableMs });
+    const answerLimits = {
+        maxAnswerBytes: limits.maxAnswerBytes,
+        evictedAnswerEnd: idempotencyEnds.answerNotRetained(),
+    };
+    const keyRuns = createRunTable({
+        ...answerLimits,
+        maxRuns: limits.maxKeyRuns,
+        retentionMs: limits.retentionMs,
+        mayEvictEarly: true,
+    });
+    const ticketRuns = createRunTable({
+        ...answerLimits,
         maxRuns: limits.maxTicketRuns,
-        keptMs: limits.ticketLifetimeMs,
-        mayForgetEarly: false,
+        retentionMs: limits.ticketLifetimeMs,
+        mayEvictEarly: false,
     });
 
-    function memoryOf(claim: Claim): Memory {
-        return readTicketBoot(claim.idempotencyKey) === undefined ? keyRuns : ticketRuns;
+    function tableOf(claim: Claim): RunTable {
+        return parseTicketIssuer(claim.idempotencyKey) === undefined ? keyRuns : ticketRuns;
     }
 
-    /** Joins a run of the key at this entry, or begins one. */
-    function beginRun(memory: Memory, request: TaskRequest, hash: string): Run | Promise<TaskEnd> {
+    /** Begins a run of the key at this entry, or waits for the end of the existing one. */
+    function beginRun(table: RunTable, request: TaskRequest, hash: string): Run | Promise<TaskEnd> {
         const fingerprint = fingerprintRequest(request);
-        const known = memory.findByHash(hash);
-        if (known !== undefined) {
-            return known.fingerprint === fingerprint ? waitForEnd(known) : Promise.resolve(onceEnds.reused());
+        const existing = table.findByHash(hash);
+        if (existing !== undefined) {
+            return existing.fingerprint === fingerprint
+                ? waitForEnd(existing)
+                : Promise.resolve(idempotencyEnds.keyReused());
         }
-        return memory.begin(hash, fingerprint) ?? Promise.resolve(onceEnds.memoryFull());
+        return table.begin(hash, fingerprint) ?? Promise.resolve(idempotencyEnds.tooManyRuns());
     }
 
     async function admitKey(request: TaskRequest, key: string, signal: AbortSignal): Promise<Admission> {
@@ -92,24 +102,24 @@
             case "taken":
                 return { kind: "ended", end: await endWithHolder(run, found, signal) };
             case "unavailable": {
-                const end = onceEnds.platformSilent();
+                const end = idempotencyEnds.platformUnavailable();
                 keyRuns.discard(run, end);
                 return { kind: "ended", end };
             }
         }
     }
 
-    async function admitTicket(request: TaskRequest, ticket: string, home: string, signal: AbortSignal) {
+    async function admitTicket(request: TaskRequest, ticket: string, issuer: string, signal: AbortSignal) {
         const hash = hashKey(request.team, ticket);
-        if (home !== boot) {
-            return { kind: "ended", end: await forwarder.forward(request, hash, home, signal) } as const;
+        if (issuer !== boot) {
+            return { kind: "ended", end: await forwarder.forward(request, hash, issuer, signal) } as const;
         }
         const check = tickets.check(request.team, ticket);
         if (check === "forged") {
-            return { kind: "ended", end: onceEnds.ticketForged() } as const;
+            return { kind: "ended", end: idempotencyEnds.ticketForged() } as const;
         }
         if (check === "expired" && ticketRuns.findByHash(hash) === undefined) {
-            return { kind: "ended", end: onceEnds.ticketExpired() } as const;
+            return { kind: "ended", end: idempotencyEnds.ticketExpired() } as const;
         }
         const run = beginRun(ticketRuns, request, hash);
         return run instanceof Promise
@@ -117,7 +127,7 @@
             : { kind: "run", claim: { team: request.team, idempotencyKey: ticket, number: run.number } } as const;
     }
 
-    /** Ends this entry's attempt with what the attempt that holds the key came to. */
+    /** Ends this entry's attempt with the end of the attempt that holds the key. */
     async function endWithHolder(run: Run, taken: TakenClaim, signal: AbortSignal): Promise<TaskEnd> {
         const end = await findHolderEnd(run, taken, signal);
         keyRuns.discard(run, end);
@@ -126,22 +136,22 @@
 
     async function findHolderEnd(run: Run, taken: TakenClaim, signal: AbortSignal): Promise<TaskEnd> {
         if (taken.fingerprint !== run.fingerprint) {
-            return onceEnds.reused();
+            return idempotencyEnds.keyReused();
         }
         if (taken.isNotRun) {
-            return onceEnds.spent();
+            return idempotencyEnds.endedWithoutRunning();
         }
         if (taken.boot === boot) {
             const holder = keyRuns.findByNumber(taken.number);
             return holder === undefined
-                ? onceEnds.holderLost("this entry no longer knows how the task ended")
+                ? idempotencyEnds.outcomeUnknown("this entry no longer knows how the task ended")
                 : waitForEnd(holder);
         }
-        return askHolder({ boot: taken.boot, hash: run.hash, number: taken.number }, signal);
+        return queryHolder({ boot: taken.boot, hash: run.hash, number: taken.number }, signal);
     }
 
     async function claimRun(run: Run): Promise<Problem | undefined> {
-        run.isClaimSent = true;
+        run.isClaimRequested = true;
         const { hash, number, fingerprint } = run;
         const result = await claims.commit({ hash, boot, number, fingerprint });
         switch (result.kind) {
@@ -159,24 +169,24 @@
                     retryAfterSeconds: 2,
                 });
             case "full":
-                run.isClaimSent = false;
+                run.isClaimRequested = false;
                 return createProblem("CLAIMS_FULL", "no claim could be recorded", { retryAfterSeconds: 60 });
         }
     }
 
-    /** The end of an attempt that was never granted: only another look at the claims says what is true of the key. */
+    /** Ends an attempt whose claim was never granted; only another lookup of the claims shows the state of the key. */
     async function settleUngranted(run: Run, end: TaskEnd, signal: AbortSignal): Promise<TaskEnd> {
         if (run.takenBy !== undefined) {
             return endWithHolder(run, { kind: "taken", ...run.takenBy }, signal);
         }
-        if (run.isClaimSent) {
-            // The claim may become durable after all. The attempt is fenced: its number is never claimed again, and
-            // whoever finds the claim later and asks is told that it never ran.
+        if (run.isClaimRequested) {
+            // The claim may still become durable. The attempt is fenced: its number is never claimed again, and an
+            // entry that finds the claim later and queries this boot gets the answer that the attempt never ran.
             keyRuns.release(run);
-            const told = withUnknownHistory(end);
-            keyRuns.finish(run, onceEnds.spent(), told);
+            const reported = withUnknownOutcome(end);
+            keyRuns.finish(run, idempotencyEnds.endedWithoutRunning(), reported);
             claims.mark({ hash: run.hash, boot, number: run.number });
-            return told;
+            return reported;
         }
         const found = await claims.lookup(run.hash, true);
         switch (found.kind) {
@@ -186,24 +196,24 @@
             case "taken":
                 return endWithHolder(run, found, signal);
             case "unavailable": {
-                const told = withUnknownHistory(end);
-                keyRuns.discard(run, told);
-                return told;
+                const reported = withUnknownOutcome(end);
+                keyRuns.discard(run, reported);
+                return reported;
             }
         }
     }
 
-    function settleGranted(memory: Memory, run: Run, end: TaskEnd): TaskEnd {
+    function settleGranted(table: RunTable, run: Run, end: TaskEnd): TaskEnd {
         if (!isNotRun(end)) {
-            memory.finish(run, end);
+            table.finish(run, end);
             return end;
         }
-        const told = withSpentHint(end);
-        memory.finish(run, told);
-        if (memory === keyRuns) {
+        const reported = withNewKeyHint(end);
+        table.finish(run, reported);
+        if (table === keyRuns) {
             claims.mark({ hash: run.hash, boot, number: run.number });
         }
-        return told;
+        return reported;
     }
 
     peers.onRequest(topics.ask, async (_from, body) => {
@@ -214,7 +224,7 @@
         if (!parsed.success || run === undefined || run.hash !== parsed.data.hash) {
             return { kind: "unseen" };
         }
-        const ended = waitForEnd(run).then((end) => ({ kind: "ended", end: shrinkEnd(end) }));
+        const ended = waitForEnd(run).then((end) => ({ kind: "ended", end: replaceOversizedAnswer(end) }));
         const waited = new Promise((resolve) => setTimeout(resolve, parsed.data.waitMs, { kind: "running" }));
         return Promise.race([ended, waited]);
     });
@@ -223,39 +233,39 @@
         issueTicket: (team) => tickets.issue(team),
         async admit(request, signal) {
             const key = request.idempotencyKey ?? request.id;
-            const home = readTicketBoot(key);
-            return home === undefined ? admitKey(request, key, signal) : admitTicket(request, key, home, signal);
+            const issuer = parseTicketIssuer(key);
+            return issuer === undefined ? admitKey(request, key, signal) : admitTicket(request, key, issuer, signal);
         },
         async claim(claim) {
-            const run = memoryOf(claim).findByNumber(claim.number);
+            const run = tableOf(claim).findByNumber(claim.number);
             if (run === undefined || run.end !== undefined) {
                 return createProblem("ALREADY_CLAIMED", "the attempt has ended");
             }
             if (run.isGranted) {
                 return undefined;
             }
-            if (memoryOf(claim) === ticketRuns) {
+            if (tableOf(claim) === ticketRuns) {
                 run.isGranted = true;
                 return undefined;
             }
             return claimRun(run);
         },
         async settle(claim, end, signal) {
-            const memory = memoryOf(claim);
-            const run = memory.findByNumber(claim.number);
+            const table = tableOf(claim);
+            const run = table.findByNumber(claim.number);
             if (run === undefined) {
                 return end;
             }
             if (run.isGranted) {
-                return settleGranted(memory, run, end);
+                return settleGranted(table, run, end);
             }
-            if (memory === ticketRuns) {
-                memory.discard(run, end);
+            if (table === ticketRuns) {
+                table.discard(run, end);
                 return end;
             }
             return settleUngranted(run, end, signal);
         },
-        onForwarded: forwarder.onForwarded,
+        setForwardedRunner: forwarder.setForwardedRunner,
         counts: () => ({
             claims: claims.size(),
             runs: keyRuns.size() + ticketRuns.size(),
--- a/src/runs/createWorkerPolling.ts
+++ b/src/runs/createWorkerPolling.ts
@@ -76,7 +76,7 @@
     const bounds: LeaseBounds = {
         leaseMs: Math.min(runLeaseMs, opts.maxLeaseMs),
         maxLeaseMs: opts.maxLeaseMs,
-        tenureStartedAtMs: clocks.steadyMs(),
+        tenureStartedAtMs: clocks.monotonicMs(),
     };
     /** Workers for which an immediate poll is scheduled. */
     const pollsScheduled = new Set<Worker>();
@@ -100,7 +100,7 @@
     }
 
     async function poll(worker: Worker, waitMs: number): Promise<void> {
-        const sentAtMs = clocks.steadyMs();
+        const sentAtMs = clocks.monotonicMs();
         const leaseUntilMs = chooseLeaseEnd(worker, sentAtMs);
         const result = await api.poll(worker, {
             token: tenure.token,
@@ -164,7 +164,7 @@
             worker.isReachable = false;
             opts.report({ kind: "dependency", name: `worker ${worker.id}`, state: "lost", detail });
         }
-        if (!isIdle(worker) && areLeasesExpired(worker, bounds, clocks.steadyMs())) {
+        if (!isIdle(worker) && areLeasesExpired(worker, bounds, clocks.monotonicMs())) {
             [...worker.runs].forEach((run) =>
                 opts.drop(run, DropCause.leaseOver, "its lease has expired on an unresponsive worker")
             );
@@ -189,7 +189,7 @@
         recordClockReading(worker, {
             workerMs: result.workerMs,
             sentAtMs,
-            receivedAtMs: clocks.steadyMs(),
+            receivedAtMs: clocks.monotonicMs(),
             from: "list",
         });
         if (worker.runList.kind === "read" && sentAtMs < worker.runList.askedAtMs) {
@@ -220,7 +220,7 @@
                 // Without this bound, a worker that is cut off right after a change of leaders would count as empty while
                 // it still runs what the previous leader started.
                 boundEarlierLeases(worker, workerMs, bounds);
-                worker.runList = { kind: "read", firstReadAtMs: clocks.steadyMs(), askedAtMs };
+                worker.runList = { kind: "read", firstReadAtMs: clocks.monotonicMs(), askedAtMs };
                 return;
             case "read":
                 worker.runList = { ...runList, askedAtMs };
@@ -253,7 +253,7 @@
     }
 
     function recordProgress(run: Run, row: ListedRun): void {
-        const nowMs = clocks.steadyMs();
+        const nowMs = clocks.monotonicMs();
         if (run.phase === "unconfirmed" || run.phase === "starting") {
             run.phase = "running";
         }
--- a/src/scheduler/createFleetController.ts
+++ b/src/scheduler/createFleetController.ts
@@ -79,7 +79,7 @@
     let timer: NodeJS.Timeout | undefined;
 
     function reportPoolUsage(demand: readonly PoolDemand[]): void {
-        const nowMs = clocks.steadyMs();
+        const nowMs = clocks.monotonicMs();
         if (nowMs - reportedAtMs < reportIntervalMs) {
             return;
         }
@@ -150,7 +150,7 @@
             policy,
             estimates: opts.estimates,
             meter: opts.meter,
-            nowMs: clocks.steadyMs(),
+            nowMs: clocks.monotonicMs(),
             comingCpuMillis: view.comingCpuMillis,
             timeOfDayMs: Date.now(),
             joinMs: opts.joinMs,
--- a/src/scheduler/createWatchdog.ts
+++ b/src/scheduler/createWatchdog.ts
@@ -58,7 +58,7 @@
 
     return {
         check(worker) {
-            const nowMs = clocks.steadyMs();
+            const nowMs = clocks.monotonicMs();
             for (const run of worker.runs) {
                 if (isStalled(run, nowMs)) {
                     quarantine(worker, nowMs + quarantineMs);
--- a/src/tasks/createTasks.ts
+++ b/src/tasks/createTasks.ts
@@ -1,11 +1,11 @@
 import type { Dispatch } from "../dispatch";
 import type { Problem } from "../errors";
-import type { Claim, Once } from "../once";
+import type { Claim, IdempotencyGuard } from "../once";
 import type { TaskEnd, TaskRequest, Tasks } from "./task";
 
 export interface TasksOptions {
     readonly dispatch: Pick<Dispatch, "run">;
-    readonly once: Once;
+    readonly once: IdempotencyGuard;
     /** Gives a problem where the task's key has been withdrawn since it came. */
     readonly checkKey: (request: TaskRequest) => Problem | undefined;
 }
@@ -50,7 +50,7 @@
         }
     }
 
-    opts.once.onForwarded(runCounted);
+    opts.once.setForwardedRunner(runCounted);
     return {
         run: runCounted,
         runningCount: () => count,
--- a/standins/dispatch/createFakeLimits.ts
+++ b/standins/dispatch/createFakeLimits.ts
@@ -13,7 +13,7 @@
     const listeners = new Set<(team: string) => void>();
     let nextId = 1;
     const limits: Limits = {
-        tryTake(team, size) {
+        tryAcquire(team, size) {
             const holds = held.get(team) ?? new Set();
             held.set(team, holds);
             if (holds.size >= limitOf(team)) {
@@ -31,11 +31,11 @@
         releaseAfter(hold, delayMs) {
             setTimeout(() => limits.release(hold), delayMs);
         },
-        noteDemand() {},
-        hasRoom: (team) => (held.get(team)?.size ?? 0) < limitOf(team),
+        recordDemand() {},
+        hasFreeCapacity: (team) => (held.get(team)?.size ?? 0) < limitOf(team),
         readDivisions: () => Promise.resolve(Right([])),
-        findPeerWithRoom: () => undefined,
-        onRoom(listener) {
+        findPeerWithCapacity: () => undefined,
+        onCapacityAvailable(listener) {
             listeners.add(listener);
             return () => listeners.delete(listener);
         },
--- a/standins/fleet/createJudge.ts
+++ b/standins/fleet/createJudge.ts
@@ -1,6 +1,6 @@
 import type { Configuration } from "../../src/configuration";
 import type { FleetState } from "../../src/state";
-import type { TaskOrder, TaskResult } from "../../src/workers";
+import type { RunTaskRequest, TaskResult } from "../../src/workers";
 import type { FakeWorkers } from "../fakes";
 
 /** What was seen to break a promise; empty while all hold. */
@@ -128,8 +128,8 @@
 ): ReturnType<FakeWorkers["connect"]> {
     return {
         ...connected,
-        async notify(address, notice) {
-            const answer = await connected.notify(address, notice);
+        async sendCommand(address, notice) {
+            const answer = await connected.sendCommand(address, notice);
             judge();
             return answer;
         },
@@ -143,7 +143,7 @@
     };
 }
 
-function isCut(order: TaskOrder, result: TaskResult): boolean {
+function isCut(order: RunTaskRequest, result: TaskResult): boolean {
     return result.kind === "stopped" && (result.reason === "stop"
         || result.reason === "checkpoint" && order.isRepeatable !== true);
 }
