--- a/bench/limits/limitsWorld.ts
+++ b/bench/limits/limitsWorld.ts
@@ -6,7 +6,7 @@
 import type { Peer, Peers } from "../../src/peers";
 import type { Platform, SwapFailure } from "../../src/platform";
 import { applyCommand, type Change, createEmptyState, type FleetState, type UpperLimit } from "../../src/state";
-import type { TaskOrder, TaskSize, Workers } from "../../src/workers";
+import type { RunTaskRequest, TaskSize, Workers } from "../../src/workers";
 import {
     createFakeNetwork,
     createFakePlatform,
@@ -225,7 +225,7 @@
 
         function pump(): void {
             for (const task of [...queue]) {
-                const hold = limits.tryTake(task.team, task.size, task.id);
+                const hold = limits.tryAcquire(task.team, task.size, task.id);
                 if (hold !== undefined) {
                     queue.splice(queue.indexOf(task), 1);
                     void run(task, hold);
@@ -252,11 +252,11 @@
             });
         }
 
-        async function send(client: Workers, order: TaskOrder, signal: AbortSignal) {
+        async function send(client: Workers, order: RunTaskRequest, signal: AbortSignal) {
             return (await client.runTask({ instance: workerName, url: "" }, order, signal)).kind;
         }
 
-        function createOrder(task: WorldTask): TaskOrder {
+        function createOrder(task: WorldTask): RunTaskRequest {
             const { team, size, id } = task;
             return {
                 attempt: id,
@@ -271,7 +271,7 @@
         }
 
         process.run(() => {
-            limits.onRoom(() => pump());
+            limits.onCapacityAvailable(() => pump());
             setInterval(() => {
                 const attempts = [...running.keys()];
                 void processes.outside(() =>
--- a/matrix/createTap.ts
+++ b/matrix/createTap.ts
@@ -71,7 +71,7 @@
             },
             renewLeases: (...args) => around({ kind: "renewLeases" }, () => workers.renewLeases(...args)),
             readUsage: (...args) => around({ kind: "readUsage" }, () => workers.readUsage(...args)),
-            notify: (worker, notice) => around({ kind: notice.kind }, () => workers.notify(worker, notice)),
+            sendCommand: (worker, notice) => around({ kind: notice.kind }, () => workers.sendCommand(worker, notice)),
         }),
     };
 }
--- a/matrix/defects.ts
+++ b/matrix/defects.ts
@@ -33,7 +33,7 @@
         at: { row: "taking a request", fault: "answers late" },
         breakCore(core) {
             let nextId = 1;
-            core.limits.tryTake = (team, size) => ({ id: -nextId++, team, size });
+            core.limits.tryAcquire = (team, size) => ({ id: -nextId++, team, size });
             return core;
         },
     },
--- a/src/cli/callAndPrint.ts
+++ b/src/cli/callAndPrint.ts
@@ -1,9 +1,9 @@
 import { callEntry, type EntryRequest, reportFailure } from "./callEntry";
 import type { Invocation } from "./defineCommand";
 import { ExitCode } from "./exitCode";
-import { writeAnswer } from "./output";
+import { writeResult } from "./output";
 
-/** Sends one request and prints its answer, as JSON or as the command renders it; `next` may then do more with it. */
+/** Sends one request and prints the response, as JSON or with `render`. `next` then continues with the response. */
 export async function callAndPrint<T>(
     flags: Invocation["flags"],
     call: EntryRequest,
@@ -14,7 +14,7 @@
     return answer.caseOf<Promise<ExitCode>>({
         Left: (failure) => Promise.resolve(reportFailure(failure, flags["json"] === true)),
         Right: (body) => {
-            writeAnswer(body as T, flags["json"] === true, render);
+            writeResult(body as T, flags["json"] === true, render);
             return next(body as T);
         },
     });
--- a/src/cli/commands/index.ts
+++ b/src/cli/commands/index.ts
@@ -9,11 +9,11 @@
 import { keyWithdraw } from "./keyWithdraw";
 import { machineTime } from "./machineTime";
 import { plan } from "./plan";
-import { planCancel, planPause, planResume } from "./planSteer";
+import { planCancel, planPause, planResume } from "./planControl";
 import { settings } from "./settings";
 import { show } from "./show";
 
-/** Every command of the program, in the order of its help. */
+/** Every command, in the order of the root help. */
 export const commands: readonly DefinedCommand[] = [
     entry,
     settings,
--- a/src/dispatch/findRefusal.ts
+++ b/src/dispatch/checkAdmission.ts
@@ -3,23 +3,26 @@
 import type { IndexedPool, PoolIndex } from "../pools";
 import type { TaskQueues } from "./createTaskQueues";
 import type { DispatchRequest } from "./dispatch";
-import { estimateWaitMs, retryAfterSeconds } from "./queueEstimates";
+import { estimateRetryAfterSeconds, estimateWaitMs } from "./queueEstimates";
 
+/** Why a task is refused on arrival. */
 export interface Refusal {
     readonly code: ProblemCode;
     readonly detail: string;
-    /** Seconds until it is worth coming back. */
-    readonly comeBack?: number;
+    /** When the caller should retry, in seconds. */
+    readonly retryAfterSeconds?: number;
 }
 
-export interface FindRefusalOptions {
+export interface CheckAdmissionOptions {
     readonly pools: PoolIndex;
     readonly limits: Limits;
     readonly queues: TaskQueues;
 }
 
-/** Why a task is not even queued; costs the same however many tasks wait. */
-export function findRefusal({ task, signal }: DispatchRequest, opts: FindRefusalOptions): Refusal | undefined {
+/**
+ * Returns why a task must not be queued, or `undefined` if it may be. The cost doesn't depend on how many tasks wait.
+ */
+export function checkAdmission({ task, signal }: DispatchRequest, opts: CheckAdmissionOptions): Refusal | undefined {
     const { pools, limits, queues } = opts;
     const pool = pools.find(task.pool);
     if (pool === undefined) {
@@ -29,23 +32,23 @@
         return { code: "NEVER_FITS", detail: describeLargest(pool) };
     }
     if (limits.isNeverPossible(task.team, task.size)) {
-        return { code: "NEVER_FITS", detail: `team ${task.team}'s whole limit cannot hold one such task` };
+        return { code: "NEVER_FITS", detail: `the task exceeds the whole limit of team ${task.team}` };
     }
     if (signal.aborted) {
-        return { code: "CANCELLED", detail: "cancelled before it was queued" };
+        return { code: "CANCELLED", detail: "canceled before it was queued" };
     }
     const queue = queues.find(task.pool, task.team);
     if (queues.isFull(task.team)) {
-        const detail = `${queues.count()} tasks wait at this entry`;
-        return { code: "QUEUE_FULL", detail, comeBack: retryAfterSeconds(queue) };
+        const detail = `the queue is full; ${queues.count()} tasks wait at this entry`;
+        return { code: "QUEUE_FULL", detail, retryAfterSeconds: estimateRetryAfterSeconds(queue) };
     }
-    const leftMs = task.deadlineAtMs - Date.now();
-    if (leftMs <= 0) {
+    const remainingMs = task.deadlineAtMs - Date.now();
+    if (remainingMs <= 0) {
         return { code: "DEADLINE_PASSED", detail: "the deadline had passed on arrival" };
     }
-    if (queue !== undefined && !task.urgent && estimateWaitMs(queue) > leftMs) {
-        const detail = "at the present rate the task would not start before its deadline";
-        return { code: "QUEUE_FULL", detail, comeBack: retryAfterSeconds(queue) };
+    if (queue !== undefined && !task.urgent && estimateWaitMs(queue) > remainingMs) {
+        const detail = "at the current rate the task would not start before its deadline";
+        return { code: "QUEUE_FULL", detail, retryAfterSeconds: estimateRetryAfterSeconds(queue) };
     }
     return undefined;
 }
--- a/src/dispatch/createWorkerLoads.ts
+++ b/src/dispatch/createWorkerLoads.ts
@@ -1,62 +1,70 @@
 import type { Instance } from "../state";
 import type { TaskSize } from "../workers";
 
-/** What this entry knows of one worker's load. */
+/** What this entry knows about the load of one worker. */
 export interface WorkerLoad {
-    /** Tasks of this entry that the worker runs or is about to. */
+    /** Tasks of this entry that the worker runs or is about to run. */
     ownTasks: number;
     ownProcessors: number;
     ownMemoryMb: number;
     ownAccelerators: number;
-    /** Tasks of other entries, as last heard; it lags. */
+    /** Tasks of other entries, as last reported; the number lags. */
     otherTasks: number;
     otherProcessors: number;
     otherMemoryMb: number;
     otherAccelerators: number;
-    /** What was heard of others counts until then, in milliseconds of this entry's clock. */
-    othersUntilMs: number;
-    /** Why no new task goes there for now. */
+    /** When the numbers of other entries expire, in milliseconds of this entry's clock. */
+    otherUsageUntilMs: number;
+    /** Why the worker gets no new task for now. */
     avoided: Avoidance | undefined;
-    /** Refused connections in a row. */
-    unreachableTimes: number;
+    /** Consecutive failures to connect. */
+    consecutiveUnreachable: number;
 }
 
 export type AvoidReason = "leaving" | "staleAssignment" | "unreachable";
 
 export interface Avoidance {
     readonly reason: AvoidReason;
+    /** When the avoidance ends, in milliseconds of this entry's clock. */
     readonly untilMs: number;
-    /** The instance's assignment number then; a higher one ends the avoidance. */
+    /** The instance's assignment number at that time; a higher one ends the avoidance. */
     readonly assignmentNumber: number;
 }
 
-/** Others' use of a worker, from its own report. */
-export interface OtherUse extends TaskSize {
+/** Usage of a worker by other entries, as the worker reported it. */
+export interface OtherUsage extends TaskSize {
     readonly tasks: number;
 }
 
 export interface WorkerLoads {
     of(instance: string): WorkerLoad;
-    take(instance: string, size: TaskSize): void;
-    giveBack(instance: string, size: TaskSize): void;
-    noteOthers(instance: string, use: OtherUse): void;
-    /** The worker said that its slots are taken. */
-    noteBusy(instance: Instance): void;
-    /** A slot there has been offered to another entry. */
-    noteTaken(instance: string): void;
-    /** Somebody else's slot there has become free. */
-    noteFreed(instance: string): void;
+    /** Adds a task of this entry. */
+    reserve(instance: string, size: TaskSize): void;
+    /** Removes a task of this entry. */
+    release(instance: string, size: TaskSize): void;
+    /** Records a report of the usage by other entries. */
+    recordOtherUsage(instance: string, use: OtherUsage): void;
+    /** Records that the worker refused a task because all its slots are in use. */
+    recordBusy(instance: Instance): void;
+    /** Records that a slot of the worker was offered to another entry. */
+    recordSlotOffered(instance: string): void;
+    /** Records that a slot used by another entry has become free. */
+    recordSlotFreed(instance: string): void;
+    /** Sends no new task to the worker for a time that depends on the reason. */
     avoid(instance: Instance, reason: AvoidReason): void;
     isAvoided(instance: Instance): boolean;
-    /** The worker answered; it can be reached. */
-    noteReached(instance: string): void;
+    /** Records that the worker answered, which resets its connection backoff. */
+    recordReachable(instance: string): void;
 }
 
-/** How long a worker that said it is leaving gets nothing, where the configuration does not move on. */
-const leavingMs = 5000;
-/** How long a worker's report, or its refusal as busy, says something of its slots. */
-const reportAgeMs = 3000;
-const busyAgeMs = 300;
+/**
+ * How long a worker that is leaving or refused an outdated assignment number gets no new task if its assignment number
+ * in the configuration doesn't increase.
+ */
+const leavingAvoidMs = 5000;
+/** How long a usage report, and a refusal as busy, are taken as the state of the worker's slots. */
+const maxReportAgeMs = 3000;
+const maxBusyAgeMs = 300;
 const firstUnreachableMs = 500;
 const maxUnreachableMs = 10_000;
 
@@ -66,7 +74,7 @@
     function of(instance: string): WorkerLoad {
         const known = loads.get(instance);
         if (known !== undefined) {
-            forgetOld(known);
+            expireOtherUsage(known);
             return known;
         }
         const load = createLoad();
@@ -83,27 +91,27 @@
 
     return {
         of,
-        take: (instance, size) => addOwn(of(instance), size, 1),
-        giveBack: (instance, size) => addOwn(of(instance), size, -1),
-        noteOthers(instance, use) {
+        reserve: (instance, size) => addOwn(of(instance), size, 1),
+        release: (instance, size) => addOwn(of(instance), size, -1),
+        recordOtherUsage(instance, use) {
             const load = of(instance);
             load.otherTasks = use.tasks;
             load.otherProcessors = use.processors;
             load.otherMemoryMb = use.memoryMb;
             load.otherAccelerators = use.accelerators;
-            load.othersUntilMs = Date.now() + reportAgeMs;
+            load.otherUsageUntilMs = Date.now() + maxReportAgeMs;
         },
-        noteBusy({ name, slots }) {
+        recordBusy({ name, slots }) {
             const load = of(name);
             load.otherTasks = Math.max(load.otherTasks, slots - load.ownTasks);
-            load.othersUntilMs = Math.max(load.othersUntilMs, Date.now() + busyAgeMs);
+            load.otherUsageUntilMs = Math.max(load.otherUsageUntilMs, Date.now() + maxBusyAgeMs);
         },
-        noteTaken(instance) {
+        recordSlotOffered(instance) {
             const load = of(instance);
             load.otherTasks++;
-            load.othersUntilMs = Math.max(load.othersUntilMs, Date.now() + busyAgeMs);
+            load.otherUsageUntilMs = Math.max(load.otherUsageUntilMs, Date.now() + maxBusyAgeMs);
         },
-        noteFreed(instance) {
+        recordSlotFreed(instance) {
             const load = of(instance);
             load.otherTasks = Math.max(0, load.otherTasks - 1);
         },
@@ -118,14 +126,14 @@
                 && avoided.assignmentNumber >= instance.assignmentNumber
                 && Date.now() < avoided.untilMs;
         },
-        noteReached(instance) {
-            of(instance).unreachableTimes = 0;
+        recordReachable(instance) {
+            of(instance).consecutiveUnreachable = 0;
         },
     };
 }
 
-function forgetOld(load: WorkerLoad): void {
-    if (load.otherTasks > 0 && Date.now() > load.othersUntilMs) {
+function expireOtherUsage(load: WorkerLoad): void {
+    if (load.otherTasks > 0 && Date.now() > load.otherUsageUntilMs) {
         load.otherTasks = 0;
         load.otherProcessors = 0;
         load.otherMemoryMb = 0;
@@ -137,9 +145,9 @@
     switch (reason) {
         case "leaving":
         case "staleAssignment":
-            return leavingMs;
+            return leavingAvoidMs;
         case "unreachable":
-            return Math.min(maxUnreachableMs, firstUnreachableMs * 2 ** load.unreachableTimes++);
+            return Math.min(maxUnreachableMs, firstUnreachableMs * 2 ** load.consecutiveUnreachable++);
     }
 }
 
@@ -153,8 +161,8 @@
         otherProcessors: 0,
         otherMemoryMb: 0,
         otherAccelerators: 0,
-        othersUntilMs: 0,
+        otherUsageUntilMs: 0,
         avoided: undefined,
-        unreachableTimes: 0,
+        consecutiveUnreachable: 0,
     };
 }
--- a/src/dispatch/learnFromResult.ts
+++ b/src/dispatch/recordResult.ts
@@ -1,11 +1,11 @@
 import type { Reporter } from "../logging";
 import type { PoolIndex } from "../pools";
 import type { TaskResult } from "../workers";
-import type { Try } from "./createTries";
+import type { Attempt } from "./createLeasedAttempts";
 import type { WorkerHealth } from "./createWorkerHealth";
 import type { WorkerLoads } from "./createWorkerLoads";
 
-export interface LearnOptions {
+export interface RecordResultOptions {
     readonly loads: WorkerLoads;
     readonly health: WorkerHealth;
     readonly pools: PoolIndex;
@@ -13,45 +13,50 @@
     readonly onEjected: (instance: string, pool: string) => void;
 }
 
-/** Keeps what a try tells of its task and its worker. */
-export function learnFromResult(one: Try, result: TaskResult, durationMs: number, opts: LearnOptions): void {
-    const { waiting } = one;
+/** Updates the state of the task, the load and the health of the worker from the result of an attempt. */
+export function recordResult(
+    attempt: Attempt,
+    result: TaskResult,
+    durationMs: number,
+    opts: RecordResultOptions,
+): void {
+    const { waiting } = attempt;
     switch (result.kind) {
         case "answered":
-            waiting.startedTries++;
-            noteHealth(one, true, durationMs, opts);
+            waiting.startedAttempts++;
+            updateHealth(attempt, true, durationMs, opts);
             return;
         case "failed":
-            waiting.startedTries++;
-            waiting.tried.add(one.instance.name);
-            noteHealth(one, false, durationMs, opts);
+            waiting.startedAttempts++;
+            waiting.excludedInstances.add(attempt.instance.name);
+            updateHealth(attempt, false, durationMs, opts);
             return;
         case "stopped":
-            waiting.startedTries++;
+            waiting.startedAttempts++;
             return;
         case "unknown":
-            waiting.startedTries++;
-            waiting.tried.add(one.instance.name);
-            if (one.stopping === undefined) {
-                noteHealth(one, false, durationMs, opts);
+            waiting.startedAttempts++;
+            waiting.excludedInstances.add(attempt.instance.name);
+            if (attempt.stopping === undefined) {
+                updateHealth(attempt, false, durationMs, opts);
             }
             return;
         case "notRun":
-            noteRefused(one, result.reason, opts);
+            recordNotRun(attempt, result.reason, opts);
     }
 }
 
-function noteRefused(
-    { waiting, instance }: Try,
+function recordNotRun(
+    { waiting, instance }: Attempt,
     reason: Extract<TaskResult, { kind: "notRun"; }>["reason"],
-    { loads }: LearnOptions,
+    { loads }: RecordResultOptions,
 ): void {
     switch (reason) {
         case "busy":
-            loads.noteBusy(instance);
+            loads.recordBusy(instance);
             return;
         case "tooLarge":
-            waiting.tried.add(instance.name);
+            waiting.excludedInstances.add(instance.name);
             return;
         case "leaving":
         case "staleAssignment":
@@ -61,10 +66,15 @@
     }
 }
 
-function noteHealth({ instance, waiting }: Try, isOk: boolean, durationMs: number, opts: LearnOptions): void {
+function updateHealth(
+    { instance, waiting }: Attempt,
+    isOk: boolean,
+    durationMs: number,
+    opts: RecordResultOptions,
+): void {
     const poolSize = opts.pools.find(instance.pool)?.servingCount ?? 1;
     const slowness = Math.max(1, durationMs) / waiting.task.expectedRunMs;
-    const change = opts.health.note(instance.name, instance.pool, poolSize, isOk, slowness);
+    const change = opts.health.recordOutcome(instance.name, instance.pool, poolSize, isOk, slowness);
     if (change !== undefined) {
         const { kind, ...fields } = change;
         opts.report({ kind: "workerHealth", change: kind, ...fields });
--- a/src/duties/test/duties.steps.ts
+++ b/src/duties/test/duties.steps.ts
@@ -50,7 +50,7 @@
 function addEntry(world: World, name: string, rank: number): void {
     const store = world.store.connect(name);
     const clocks = {
-        steadyMs: () => performance.now(),
+        monotonicMs: () => performance.now(),
         suspendAwareMs: () => performance.now() + world.suspendedMs,
     };
     const election = createLeaderElection({
@@ -70,7 +70,7 @@
         prefix: leaderKey,
         waitMs: 1000,
         pauseMs: 0,
-        nowMs: clocks.steadyMs,
+        nowMs: clocks.monotonicMs,
         onItem() {},
         onBatch: () => election.updateLeader(watcher.items.get(leaderKey)),
     });
--- a/src/executor/createHealth.ts
+++ b/src/executor/createHealth.ts
@@ -64,7 +64,7 @@
         }
         if (seen.assignmentNumber < assignmentNumber || seen.state !== "serving") {
             goodAnswers.delete(name);
-            await workers.notify({ instance: name, url }, { kind: "serve", assignmentNumber, pool });
+            await workers.sendCommand({ instance: name, url }, { kind: "serve", assignmentNumber, pool });
             return undefined;
         }
         return state.kind === "lost" && state.cause !== "leaving" ? proveRecovered(instance) : undefined;
--- a/src/logs/index.ts
+++ b/src/logs/index.ts
@@ -1,6 +1,6 @@
-/** What the entries' logs tell afterwards: of one submission, of machine time, of a whole day. */
-export { drawDay } from "./drawDay";
-export { explainSubmission, renderLogLine, type SubmissionStory } from "./explainSubmission";
+/** Analysis of the entries' logs: the timeline of one submission, the use of machine time, the summary of a day. */
+export { explainSubmission, renderLogLine, type SubmissionTimeline } from "./explainSubmission";
 export { type LogLine, readLogLines } from "./readLogLines";
-export { type MachineTime, promptS, sumMachineTime } from "./sumMachineTime";
-export { type DayTrace, traceDay } from "./traceDay";
+export { renderDaySvg } from "./renderDaySvg";
+export { type MachineTime, promptStartMaxS, sumMachineTime } from "./sumMachineTime";
+export { type DaySummary, summarizeDay } from "./summarizeDay";
--- a/src/platform/test/platform.steps.ts
+++ b/src/platform/test/platform.steps.ts
@@ -153,7 +153,7 @@
         store: this.store.connect(instance),
         instance,
         boot: "boot-1",
-        clocks: { steadyMs: nowMs, suspendAwareMs: nowMs },
+        clocks: { monotonicMs: nowMs, suspendAwareMs: nowMs },
         onLeaseExpired: () => this.hasLeaseExpired = true,
     });
     this.registration.start();
--- a/src/policy/test/policy.steps.ts
+++ b/src/policy/test/policy.steps.ts
@@ -45,7 +45,7 @@
     this.watcher = createPolicyWatcher({
         store: this.store.connect(entryName),
         decoder,
-        clocks: { steadyMs: () => performance.now(), suspendAwareMs: () => performance.now() },
+        clocks: { monotonicMs: () => performance.now(), suspendAwareMs: () => performance.now() },
         report: (event) => this.log.push(event),
     });
     this.watcher.start();
--- a/src/runs/createRunControl.ts
+++ b/src/runs/createRunControl.ts
@@ -55,24 +55,24 @@
             run: run.number,
             worker: run.worker.id,
             token: tenure.token,
-            waitedMs: Math.round(clocks.steadyMs() - run.plannedAtMs),
+            waitedMs: Math.round(clocks.monotonicMs() - run.plannedAtMs),
             outcome,
         });
     }
 
     function delayTask(run: Run, delayMs: number): void {
-        run.task.notBeforeMs = clocks.steadyMs() + delayMs;
+        run.task.notBeforeMs = clocks.monotonicMs() + delayMs;
     }
 
     function applyStart(run: Run, worker: Worker, result: StartResult, sentAtMs: number, leaseUntilMs: number): void {
         switch (result.kind) {
             case "started":
-                run.answeredAtMs = clocks.steadyMs();
+                run.answeredAtMs = clocks.monotonicMs();
                 run.phase = run.phase === "starting" ? "running" : run.phase;
                 return;
             case "refused":
                 if (result.reason === "unhealthy") {
-                    worker.outcomes.quarantinedUntilMs = clocks.steadyMs() + unhealthyPauseMs;
+                    worker.outcomes.quarantinedUntilMs = clocks.monotonicMs() + unhealthyPauseMs;
                 }
                 delayTask(run, refusedDelayMs);
                 opts.drop(run, DropCause.refused, `the worker refused the start: ${result.reason}`);
@@ -114,7 +114,7 @@
         }
         markUnreachable(worker, sentAtMs);
         if (run.task.step.maxUnavailable > 0 && run.worker === worker) {
-            const nowMs = clocks.steadyMs();
+            const nowMs = clocks.monotonicMs();
             const leftMs = leaseUntilMs - (earliestWorkerMs(worker, nowMs) ?? 0);
             run.answeredAtMs = nowMs + maxLocalMs(leftMs);
             return;
@@ -124,7 +124,7 @@
 
     async function start(run: Run): Promise<void> {
         const { worker, task } = run;
-        const nowMs = clocks.steadyMs();
+        const nowMs = clocks.monotonicMs();
         const leaseUntilMs = startValidUntilMs(worker, nowMs);
         const isObsolete = run.phase !== "recording" || !tenure.isValid() || leaseUntilMs === undefined;
         if (isObsolete || worker.isDraining || worker.isEvacuated || task.entry.isCancelled) {
@@ -147,7 +147,7 @@
             ticket: opts.findTicket(run),
         });
         if ("workerMs" in result && result.workerMs !== undefined) {
-            const answeredAtMs = clocks.steadyMs();
+            const answeredAtMs = clocks.monotonicMs();
             recordClockReading(worker, {
                 workerMs: result.workerMs,
                 sentAtMs: nowMs,
@@ -182,7 +182,7 @@
         }
         run.isStopSent = true;
         const { worker } = run;
-        const sentAtMs = clocks.steadyMs();
+        const sentAtMs = clocks.monotonicMs();
         const result = await api.stop(worker, run.task.name, run.number, tenure.token);
         logRequest(run, "stop", `${result.kind}: ${run.stopReason ?? ""}`);
         if (run.worker !== worker && result.kind !== "fenced") {
@@ -191,7 +191,7 @@
         }
         switch (result.kind) {
             case "taken":
-                run.answeredAtMs = clocks.steadyMs();
+                run.answeredAtMs = clocks.monotonicMs();
                 recordClockReading(worker, {
                     workerMs: result.workerMs,
                     sentAtMs,
--- a/src/runs/test/workerPolling.steps.ts
+++ b/src/runs/test/workerPolling.steps.ts
@@ -57,7 +57,7 @@
     return createWorkerPolling({
         api,
         tenure: { token: 1, condition: { key: "", revision: 1 }, isValid: () => true },
-        clocks: { steadyMs: () => performance.now(), suspendAwareMs: () => performance.now() },
+        clocks: { monotonicMs: () => performance.now(), suspendAwareMs: () => performance.now() },
         state: world.state,
         report() {},
         maxLeaseMs: 6000,
--- a/src/scheduler/createConsolidator.ts
+++ b/src/scheduler/createConsolidator.ts
@@ -60,7 +60,7 @@
 
     return {
         decide(demand) {
-            const nowMs = clocks.steadyMs();
+            const nowMs = clocks.monotonicMs();
             const pools = groupByPool(state);
             removeGoneWorkers();
             for (const need of demand) {
--- a/src/scheduler/createFleetView.ts
+++ b/src/scheduler/createFleetView.ts
@@ -100,7 +100,7 @@
     let listedAtMs = Number.NEGATIVE_INFINITY;
 
     async function readMachines(): Promise<void> {
-        const sentAtMs = clocks.steadyMs();
+        const sentAtMs = clocks.monotonicMs();
         const result = await opts.machines.list();
         if (result.kind === "noAnswer") {
             return;
@@ -160,7 +160,7 @@
         }
         const isUncertain = isGone || listSentAtMs > (pending.answeredAtMs ?? Number.POSITIVE_INFINITY);
         if (isUncertain && pending.polledAtMs === undefined) {
-            pending.polledAtMs = clocks.steadyMs();
+            pending.polledAtMs = clocks.monotonicMs();
             opts.pollNow(worker);
         }
     }
@@ -189,7 +189,7 @@
     function isSettled(pending: PendingOrder, machine: Machine | undefined, listSentAtMs: number): boolean {
         const isChanged = pending.wasObservedAway || machine?.workerId !== pending.workerIdBefore;
         const isBack = machine?.state === "up" && isChanged;
-        const isOverdue = clocks.steadyMs() - pending.orderedAtMs > orderTimeoutMs;
+        const isOverdue = clocks.monotonicMs() - pending.orderedAtMs > orderTimeoutMs;
         if (pending.wave === undefined) {
             return isBack || isOverdue;
         }
@@ -214,7 +214,7 @@
     }
 
     function canOrder(id: string): boolean {
-        const isBackingOff = (blockedUntilMs.get(id) ?? 0) > clocks.steadyMs();
+        const isBackingOff = (blockedUntilMs.get(id) ?? 0) > clocks.monotonicMs();
         return !pendingOrders.has(id) && !isBackingOff && !orders.isBlocked(id);
     }
 
@@ -224,7 +224,7 @@
         switch (result.kind) {
             case "done":
                 if (pending !== undefined) {
-                    pending.answeredAtMs = clocks.steadyMs();
+                    pending.answeredAtMs = clocks.monotonicMs();
                     pending.polledAtMs = undefined;
                 }
                 return;
@@ -246,7 +246,7 @@
 
     function discardOrder(order: MachineOrder, worker: Worker | undefined): void {
         pendingOrders.delete(order.machine);
-        blockedUntilMs.set(order.machine, clocks.steadyMs() + rejectedBackoffMs);
+        blockedUntilMs.set(order.machine, clocks.monotonicMs() + rejectedBackoffMs);
         release(worker);
         release(workerOf(machines.get(order.machine)));
     }
@@ -257,7 +257,7 @@
         isKnown: () => listedAtMs > 0,
         async refresh() {
             releaseUnaffected();
-            const ageMs = clocks.steadyMs() - listedAtMs;
+            const ageMs = clocks.monotonicMs() - listedAtMs;
             if (ageMs > (pendingOrders.size > 0 ? pendingListIntervalMs : listIntervalMs)) {
                 await readMachines();
             }
@@ -268,7 +268,7 @@
         isOrderable: canOrder,
         listIdle(wanted) {
             const standby = opts.standby();
-            const nowMs = clocks.steadyMs();
+            const nowMs = clocks.monotonicMs();
             const idle: IdleMachine[] = [];
             for (const machine of machines.values()) {
                 if (machine.state !== "up" || !canOrder(machine.id) || wanted.has(machine.id)) {
@@ -300,7 +300,7 @@
                     isObserved: wasObservedInMaintenance,
                 })),
         send(list) {
-            const nowMs = clocks.steadyMs();
+            const nowMs = clocks.monotonicMs();
             for (const order of list) {
                 const machine = machines.get(order.machine);
                 const worker = workerOf(machine);
--- a/src/scheduler/createPacer.ts
+++ b/src/scheduler/createPacer.ts
@@ -39,7 +39,7 @@
         adjust(worker) {
             const running = [...worker.runs].filter(({ phase }) => phase === "running");
             const fillers = running.filter(({ task }) => task.step.isFiller);
-            const nowMs = clocks.steadyMs();
+            const nowMs = clocks.monotonicMs();
             if (
                 fillers.length === 0 || nowMs - (adjustedAtMs.get(worker) ?? 0) < minAdjustIntervalMs
                 || !tenure.isValid()
--- a/src/scheduler/createScheduler.ts
+++ b/src/scheduler/createScheduler.ts
@@ -124,7 +124,7 @@
     const estimates = createDurationEstimates();
     const joinMs = opts.bounds.moveMs + joinOverheadMs;
     const meter = createDemandMeter(joinMs);
-    const startedAtMs = clocks.steadyMs();
+    const startedAtMs = clocks.monotonicMs();
     let isStopped = false;
     let isLoaded = false;
     let timer: NodeJS.Timeout | undefined;
@@ -137,7 +137,7 @@
 
     function drop(run: Run, cause: DropCause, reason: string): void {
         const { task, worker, number } = run;
-        const nowMs = clocks.steadyMs();
+        const nowMs = clocks.monotonicMs();
         const evidence = collectDropEvidence(worker, startedAtMs, nowMs);
         report({ kind: "runDropped", task: task.name, run: number, worker: worker.id, cause, reason, ...evidence });
         if (cause !== DropCause.notOrdered) {
@@ -164,7 +164,7 @@
         onEnded: (entry) => submissionTracker.handleFinalStored(entry),
         onCancelled: (entry) => submissionTracker.cancel(entry),
     });
-    const startWindow = createStartWindow(clocks.steadyMs);
+    const startWindow = createStartWindow(clocks.monotonicMs);
     const runControl = createRunControl({
         api: opts.workerApi,
         tenure,
@@ -190,7 +190,7 @@
                 state,
                 policy: opts.policy(),
                 estimates,
-                nowMs: clocks.steadyMs(),
+                nowMs: clocks.monotonicMs(),
                 stop: runControl.stop,
             }),
         async save(entry) {
@@ -210,7 +210,7 @@
     });
     const permitCache = createPermitCache({
         advice: opts.advice,
-        steadyMs: clocks.steadyMs,
+        steadyMs: clocks.monotonicMs,
         report,
         onChange: () => planner.planSoon(),
     });
@@ -218,7 +218,7 @@
         state,
         decoder: opts.decoder,
         report,
-        steadyMs: clocks.steadyMs,
+        steadyMs: clocks.monotonicMs,
         onIncarnationEnded: handleIncarnationEnded,
         hasPendingOrder: (worker) => fleetController.hasPendingOrder(worker),
         evacuatedZones: opts.evacuatedZones,
@@ -229,7 +229,7 @@
         estimates,
         meter,
         report,
-        steadyMs: clocks.steadyMs,
+        steadyMs: clocks.monotonicMs,
         stop: runControl.stop,
         findWorker: (id, bornMs) => workerTracker.findRecorded(id, bornMs),
         save: (entry) => void progressWriter.save(entry),
@@ -238,7 +238,7 @@
         state,
         estimates,
         tenure,
-        steadyMs: clocks.steadyMs,
+        steadyMs: clocks.monotonicMs,
         policy: () => opts.isPolicyFresh() ? opts.policy() : undefined,
         permits: permitCache,
         window: startWindow,
@@ -298,7 +298,7 @@
     }
 
     function tick(): void {
-        const nowMs = clocks.steadyMs();
+        const nowMs = clocks.monotonicMs();
         for (const entry of state.submissions.values()) {
             addDueOccurrences(entry, Date.now(), nowMs);
         }
--- a/src/scheduler/createWaveController.ts
+++ b/src/scheduler/createWaveController.ts
@@ -95,7 +95,7 @@
             return;
         }
         worker.isReserved = true;
-        const nowMs = clocks.steadyMs();
+        const nowMs = clocks.monotonicMs();
         const sinceMs = emptyingSinceMs.get(id) ?? nowMs;
         emptyingSinceMs.set(id, sinceMs);
         const isUrgent = nowMs - sinceMs > maxEmptyingMs;
@@ -125,7 +125,7 @@
      * missing.
      */
     function findRemoved(wave: Wave): ReadonlySet<string> {
-        const nowMs = clocks.steadyMs();
+        const nowMs = clocks.monotonicMs();
         const removedIds = new Set<string>();
         for (const id of wave.machines) {
             if (machines.has(id)) {
--- a/src/scheduler/test/fleetView.steps.ts
+++ b/src/scheduler/test/fleetView.steps.ts
@@ -23,7 +23,7 @@
 function createView(world: World): FleetView {
     return createFleetView({
         state: world.state,
-        clocks: { steadyMs: () => world.nowMs, suspendAwareMs: () => world.nowMs },
+        clocks: { monotonicMs: () => world.nowMs, suspendAwareMs: () => world.nowMs },
         report() {},
         machines: {
             list: () => Promise.resolve({ kind: "machines", machines: [world.machine] }),
--- a/src/workers/index.ts
+++ b/src/workers/index.ts
@@ -1,14 +1,14 @@
-/** Workers behind one narrow interface: tasks under leases, usage, drain and reboot. */
+/** Client of the workers: tasks under leases, usage, drain, and reboot. */
 export { createHttpWorkers, type HttpWorkersOptions } from "./createHttpWorkers";
 export type {
     LeaseRenewal,
+    RunTaskRequest,
     StopMode,
-    TaskOrder,
     TaskResult,
     TaskSize,
     WorkerAddress,
+    WorkerCommand,
     WorkerFailure,
-    WorkerNotice,
     Workers,
     WorkerUsage,
 } from "./workers";
--- a/standins/dispatch/createDispatchWorld.ts
+++ b/standins/dispatch/createDispatchWorld.ts
@@ -116,7 +116,7 @@
             renewLeases: (worker, renewal) => gated(() => inner.renewLeases(worker, renewal)),
             stopTask: (worker, attempt, mode) => gated(() => inner.stopTask(worker, attempt, mode)),
             readUsage: (worker) => gated(() => inner.readUsage(worker)),
-            notify: (worker, notice) => inner.notify(worker, notice),
+            sendCommand: (worker, notice) => inner.sendCommand(worker, notice),
             close: () => inner.close(),
         };
     }
@@ -158,8 +158,8 @@
             report: (event) => opts.keepsEvents === false || events.push(event),
             leaseMs: opts.leaseMs ?? 3000,
             bounds: opts.bounds ?? { tasksPerTeam: 500, tasks: 4000 },
-            tasksPerWorker,
-            usageMs: 1000,
+            maxTasksPerWorker: tasksPerWorker,
+            usageIntervalMs: 1000,
             isLeaving: (instance) => leaving.has(instance),
             random: opts.random,
         });
--- a/standins/fakes/createFakeWorkers.ts
+++ b/standins/fakes/createFakeWorkers.ts
@@ -1,5 +1,5 @@
 import { Left, Right } from "purify-ts";
-import type { TaskOrder, TaskResult, Workers, WorkerUsage } from "../../src/workers";
+import type { RunTaskRequest, TaskResult, Workers, WorkerUsage } from "../../src/workers";
 
 /** One worker's truth, which a test may read and break. */
 export interface FakeWorker {
@@ -17,7 +17,10 @@
     answerDelayMs: number;
     /** Nothing reaches the worker. */
     isDead: boolean;
-    readonly running: Map<string, { readonly order: TaskOrder; leaseEndsAtMs: number; end(result: TaskResult): void; }>;
+    readonly running: Map<
+        string,
+        { readonly order: RunTaskRequest; leaseEndsAtMs: number; end(result: TaskResult): void; }
+    >;
 }
 
 export interface FakeWorkers {
@@ -25,13 +28,13 @@
     /** Pairs `client>instance` over which nothing passes. */
     readonly cuts: Set<string>;
     /** Every start of a task, for judges. */
-    readonly starts: { readonly order: TaskOrder; readonly instance: string; readonly atMs: number; }[];
+    readonly starts: { readonly order: RunTaskRequest; readonly instance: string; readonly atMs: number; }[];
     delayMs: number;
     /** Workers do not look at an order's pool and assignment number. */
     takesAnyPool: boolean;
     rebootMs: number;
     /** How long a task runs, in milliseconds; by default what its payload `run N` says. */
-    runMs: (order: TaskOrder) => number;
+    runMs: (order: RunTaskRequest) => number;
     /** Called with each start and end of a task. */
     onChange: () => void;
     add(instance: string, slots?: number): FakeWorker;
@@ -81,7 +84,7 @@
         return new Promise((resolve) => setTimeout(resolve, ms));
     }
 
-    function refuse(worker: FakeWorker, order: TaskOrder): TaskResult | undefined {
+    function refuse(worker: FakeWorker, order: RunTaskRequest): TaskResult | undefined {
         const isOtherPool = worker.pool !== "" && order.pool !== worker.pool;
         if (!fake.takesAnyPool && (isOtherPool || order.assignmentNumber < worker.assignmentNumber)) {
             return { kind: "notRun", reason: "staleAssignment" };
@@ -92,7 +95,7 @@
         return worker.running.size >= worker.slots ? { kind: "notRun", reason: "busy" } : undefined;
     }
 
-    function start(worker: FakeWorker, order: TaskOrder): Promise<TaskResult> {
+    function start(worker: FakeWorker, order: RunTaskRequest): Promise<TaskResult> {
         fake.starts.push({ order, instance: worker.instance, atMs: Date.now() });
         return new Promise((resolve) => {
             const runMs = worker.failsAll ? 1 : fake.runMs(order);
@@ -188,7 +191,7 @@
                 const worker = reach(instance);
                 return worker === undefined ? Left(unreachable) : Right(readUsage(worker));
             },
-            async notify({ instance }, notice) {
+            async sendCommand({ instance }, notice) {
                 await sleep(fake.delayMs);
                 const worker = reach(instance);
                 if (worker === undefined) {
@@ -235,7 +238,7 @@
 
 function readUsage(worker: FakeWorker): WorkerUsage {
     const orders = [...worker.running.values()].map(({ order }) => order);
-    const sum = (pick: (order: TaskOrder) => number) => orders.reduce((total, order) => total + pick(order), 0);
+    const sum = (pick: (order: RunTaskRequest) => number) => orders.reduce((total, order) => total + pick(order), 0);
     return {
         slots: worker.slots,
         runningTasks: orders.length,
--- a/standins/fleet/createGate.ts
+++ b/standins/fleet/createGate.ts
@@ -72,7 +72,7 @@
             runTask: wrap(workers.runTask),
             stopTask: wrap(workers.stopTask),
             readUsage: wrap(workers.readUsage),
-            notify: wrap(workers.notify, () => {
+            sendCommand: wrap(workers.sendCommand, () => {
                 if (gate.freezesBeforeNotice) {
                     gate.freezesBeforeNotice = false;
                     gate.freeze();
--- a/standins/scheduling/createSchedulingWorld.ts
+++ b/standins/scheduling/createSchedulingWorld.ts
@@ -293,7 +293,7 @@
     const gate = createCallGate();
     const store = gate.wrap(world.store.connect(name));
     const log: LogEvent[] = [];
-    const clocks = { steadyMs: () => performance.now(), suspendAwareMs: () => performance.now() };
+    const clocks = { monotonicMs: () => performance.now(), suspendAwareMs: () => performance.now() };
     let scheduler: Scheduler | undefined;
     let isKilled = false;
     let isFit = true;
@@ -302,7 +302,7 @@
         direct: gate.wrap(directApi),
         peers: world.network.connect(peer),
         isBusy: () => world.areBusy,
-        nowMs: clocks.steadyMs,
+        nowMs: clocks.monotonicMs,
     });
     const duty = createLeaderElection({
         store,
@@ -350,7 +350,7 @@
         prefix: leaderKey,
         waitMs: 2000,
         pauseMs: 0,
-        nowMs: clocks.steadyMs,
+        nowMs: clocks.monotonicMs,
         onItem() {},
         onBatch: () => duty.updateLeader(follower.items.get(leaderKey)),
     });
