--- a/src/cli/commands/follow.ts
+++ b/src/cli/commands/follow.ts
@@ -6,6 +6,7 @@
 import { writeJson, writeLine } from "../output";
 
 const pollMs = 500;
+
 /** `samphirepin follow`: prints the progress of a confirmed plan until it ends. */
 export const follow = defineCommand({
     id: "follow",
@@ -38,6 +39,7 @@
     readonly id: string;
     readonly status: { readonly kind: string; readonly reason?: string; };
     readonly counts?: { readonly done: number; readonly failed: number; readonly skipped: number; };
+    /** Waiting steps by key, or only their number. */
     readonly waiting?: Readonly<Record<string, unknown>> | number;
     readonly active?: readonly string[];
 }
--- a/src/cli/createConfig.ts
+++ b/src/cli/createConfig.ts
@@ -5,7 +5,8 @@
 
 /**
  * Creates the configuration that oclif's parser and help need, without reading the disk: the single-file executable has
- * no folder in which commands could be discovered.
+ * no folder in which commands could be discovered. `Config.load` is not
+ * called, and no hooks run.
  */
 export function createConfig(): Config {
     const config = new Config({ root: __dirname });
--- a/src/daemon/createDaemon.ts
+++ b/src/daemon/createDaemon.ts
@@ -205,6 +205,10 @@
     let isStopping = false;
     let openRequests = 0;
 
+    /**
+     * Near `revokeMs` the entry refuses requests with a key. It reports not ready at half of this age, so that the load
+     * balancer sends its clients to other entries before that.
+     */
     function isReady(): boolean {
         const ageMs = policyWatcher.ageMs();
         return !isStopping && policyWatcher.policy() !== undefined && ageMs !== undefined
@@ -261,6 +265,7 @@
             await waitForOpenRequests();
             leaderElection.stop();
             policyWatcher.stop();
+            // Bounded, so that the process ends before the grace period does.
             await Promise.race([presence.stop(), pause(exitMarginMs / 2)]);
             report({ kind: "stopped" });
         },
--- a/src/metrics/createEventMetrics.ts
+++ b/src/metrics/createEventMetrics.ts
@@ -31,34 +31,34 @@
     collectDefaultMetrics({ register: registry, prefix: "samphirepin_" });
     const requests = counter(
         "requests",
-        "Client requests other than plain reads, by outcome",
+        "Clients' requests that were not plain reads, by outcome",
         "action",
         "outcome",
     );
-    const orders = counter("orders", "Start and stop requests sent to workers, by outcome", "order", "outcome");
-    const ends = counter("ends", "Ends of runs listed by workers", "how");
-    const dropped = counter("runs_dropped", "Runs dropped without an end listed by their worker, by cause", "cause");
-    const reappeared = counter("runs_reappeared", "Dropped runs that their worker listed later, by state", "state");
-    const submissions = counter("submissions", "Submissions accepted and ended by this leader", "change");
-    const machineOrders = counter("machine_orders", "Machine moves and maintenance, by outcome", "order", "outcome");
-    const duties = counter("duty_changes", "Changes of leadership of the scheduler", "change");
-    const dependencies = counter("dependency_changes", "Losses and recoveries of stores and workers", "state");
+    const orders = counter("orders", "Starts and stops sent to workers, by outcome", "order", "outcome");
+    const ends = counter("ends", "Ends that workers have listed", "how");
+    const dropped = counter("runs_dropped", "Runs given up without an end listed by their worker, by cause", "cause");
+    const reappeared = counter("runs_reappeared", "Runs given up that their worker listed later, by state", "state");
+    const submissions = counter("submissions", "Submissions taken and ended by this owner", "change");
+    const machineOrders = counter("machine_orders", "Moves and upkeeps, by outcome", "order", "outcome");
+    const duties = counter("duty_changes", "Changes of the scheduling duty", "change");
+    const dependencies = counter("dependency_changes", "Stores and workers lost and regained", "state");
     const startWait = new Histogram({
         name: "samphirepin_start_wait_seconds",
-        help: "Time from the decision to start a task to the worker's answer",
+        help: "From the decision to start a task to the worker's answer",
         buckets: waitBucketsSeconds,
         registers,
     });
     const submissionTime = new Histogram({
         name: "samphirepin_submission_seconds",
-        help: "Time from the acceptance of a submission to its end",
+        help: "From accepting a submission to its end",
         labelNames: ["change"],
         buckets: submissionBucketsSeconds,
         registers,
     });
     const poolCores = new Gauge({
         name: "samphirepin_pool_cores",
-        help: "Processors of a pool in cores: of its workers, in use, demanded by waiting tasks, joining",
+        help: "Processors of a pool: of its workers, in use, waited for, on their way",
         labelNames: ["pool", "part"],
         registers,
     });
@@ -73,17 +73,17 @@
         });
     gauge(
         "policy_age_seconds",
-        "Age of the configuration; -1 before the first one",
+        "Age of the configuration; -1 before the first",
         () => (readings.policyAgeMs() ?? -1000) / 1000,
     );
     gauge("evacuated_zones", "Availability zones whose workers are sent nothing new", readings.evacuatedZones);
     gauge(
         "duty_token",
-        "Fencing token of the leader; 0 if this entry is not the leader",
+        "Token of the duty held; 0 for none",
         () => readings.dutyToken() ?? 0,
     );
-    gauge("log_lines_dropped", "Log lines dropped since the start", readings.droppedLines);
-    gauge("open_requests", "Client requests in progress", readings.openRequests);
+    gauge("log_lines_dropped", "Log lines left out since the start", readings.droppedLines);
+    gauge("open_requests", "Clients' requests under way", readings.openRequests);
 
     return {
         count(event) {
--- a/src/metrics/createMetrics.ts
+++ b/src/metrics/createMetrics.ts
@@ -17,34 +17,34 @@
         }),
         taskDuration: new Histogram({
             name: "samphirepin_task_duration_seconds",
-            help: "Time from the arrival of a task to its end",
+            help: "From a task's arrival to its end",
             buckets: durationBucketsSeconds,
             registers,
         }),
         runningTasks: new Gauge({
             name: "samphirepin_running_tasks",
-            help: "Tasks that were accepted and have not ended",
+            help: "Tasks taken and not ended",
             registers,
         }),
         waitingTasks: new Gauge({
             name: "samphirepin_waiting_tasks",
-            help: "Tasks waiting for a worker at this entry",
+            help: "Tasks that wait for a worker at this entry",
             registers,
         }),
         lingeringTasks: new Gauge({
             name: "samphirepin_lingering_tasks",
-            help: "Attempts whose end is unknown and which still count against the limit",
+            help: "Tries whose end is not known and whose room in the limit is still kept",
             registers,
         }),
         orphanedTasks: new Gauge({
             name: "samphirepin_orphaned_tasks",
-            help: "Tasks at a worker whose holder is not connected, as last read; they end when their lease expires",
+            help: "Tasks at a worker whose holder is not connected, as last read; they end by their lease",
             labelNames: ["instance"] as const,
             registers,
         }),
         workerEjections: new Counter({
             name: "samphirepin_worker_ejections_total",
-            help: "Workers ejected by this entry because they failed or were slower than their pool",
+            help: "Workers set aside by this entry because they failed or lagged behind their pool",
             labelNames: ["instance", "pool"] as const,
             registers,
         }),
@@ -55,7 +55,7 @@
         }),
         connectedPeers: new Gauge({
             name: "samphirepin_connected_peers",
-            help: "Entries that were heard from recently",
+            help: "Entries heard from lately",
             registers,
         }),
         peerSentBytes: new Gauge({
@@ -70,7 +70,7 @@
         }),
         isolated: new Gauge({
             name: "samphirepin_isolated",
-            help: "1 if neither the platform nor a peer was heard from for the configured time, else 0",
+            help: "1 where neither the platform nor a peer was heard for the time set",
             registers,
         }),
         limitWrites: new Counter({
@@ -81,7 +81,7 @@
         }),
         forwardedTasks: new Counter({
             name: "samphirepin_forwarded_tasks_total",
-            help: "Tasks forwarded to an entry with free capacity in the team's limit, by result",
+            help: "Tasks passed on to an entry with room in the team's limit, by result",
             labelNames: ["result"] as const,
             registers,
         }),
