--- a/src/logging/createLineSink.ts
+++ b/src/logging/createLineSink.ts
@@ -20,7 +20,7 @@
     close(): void;
 }
 
-/** How long lines are buffered before they are written; each write is a system call. */
+/** How long lines are buffered before they are written, in milliseconds; each write is a system call. */
 const flushIntervalMs = 100;
 
 /** Maximum of buffered bytes while the reader has stopped reading; lines above it are dropped and counted. */
