--- a/src/configuration/createAppender.ts
+++ b/src/configuration/createAppender.ts
@@ -142,12 +142,12 @@
         if (read === undefined) {
             return { kind: "unavailable", detail: "the platform does not answer, or its log cannot be read" };
         }
-        const offer = await opts.mergeLog(read.log);
-        if (offer.kind === "behind") {
+        const merged = await opts.mergeLog(read.log);
+        if (merged.kind === "behind") {
             // A newer compaction removed the snapshot while it was read, or the platform failed: read the log again.
             return "again";
         }
-        const conflict = describeConflict(offer);
+        const conflict = describeConflict(merged);
         if (conflict !== undefined) {
             return { kind: "unavailable", detail: conflict };
         }
@@ -224,11 +224,18 @@
     async function write({ log, keyRevision }: ReadLog, applicable: readonly Pending[]): Promise<RoundResult> {
         const tail = history.recordsAfter(log.baseRevision + log.records.length);
         const added = applicable.map(({ record }) => record);
-        const cut = await compactLog({ platform, history, bounds: opts.bounds, log, missing: tail?.records, added });
-        if (cut === undefined) {
+        const compacted = await compactLog({
+            platform,
+            history,
+            bounds: opts.bounds,
+            log,
+            missing: tail?.records,
+            added,
+        });
+        if (compacted === undefined) {
             return { kind: "unavailable", detail: "the platform does not take a snapshot" };
         }
-        const { next, replaced } = cut;
+        const { next, replaced } = compacted;
         const text = encodeValue(next);
         const sentAtRevision = history.revision();
         const swapped = await platform.compareAndSwap(logKey, keyRevision, text);
@@ -284,16 +291,16 @@
 }
 
 /** Why no record may be appended to the log that was read; `undefined` if it agrees with this entry's history. */
-function describeConflict(offer: MergeResult): string | undefined {
-    switch (offer.kind) {
+function describeConflict(merged: MergeResult): string | undefined {
+    switch (merged.kind) {
         case "advanced":
         case "nothingNew":
             return undefined;
         case "behind":
             return "the snapshot that the log names cannot be read";
         case "diverged":
-            return `the log contradicts this entry's history at revision ${offer.revision}`;
+            return `the log contradicts this entry's history at revision ${merged.revision}`;
         case "refused":
-            return `revision ${offer.revision} cannot be applied by this version: ${offer.detail}`;
+            return `revision ${merged.revision} cannot be applied by this version: ${merged.detail}`;
     }
 }
--- a/src/configuration/createConfiguration.ts
+++ b/src/configuration/createConfiguration.ts
@@ -11,7 +11,7 @@
 import { defaultLogBounds, logKey, type LogValue, parseLog } from "./logValue";
 import { readSnapshot } from "./snapshot";
 
-const defaults = { appendMs: 10_000, digestMs: 2000, isolatedAfterMs: 60_000 } as const;
+const defaults = { appendTimeoutMs: 10_000, digestIntervalMs: 2000, isolatedAfterMs: 60_000 } as const;
 
 /** Interval of queries to entries that have not confirmed a revision, and the timeout of a query, in milliseconds. */
 const queryIntervalMs = 500;
@@ -40,7 +40,7 @@
         platform,
         history,
         bounds,
-        appendTimeoutMs: opts.appendTimeoutMs ?? defaults.appendMs,
+        appendTimeoutMs: opts.appendTimeoutMs ?? defaults.appendTimeoutMs,
         random: opts.random ?? Math.random,
         mergeLog: mergeStoredLog,
         onWritten(stored) {
@@ -52,11 +52,11 @@
         },
     });
 
-    const relay = peers === undefined ? undefined : createPeerSync({
+    const peerSync = peers === undefined ? undefined : createPeerSync({
         peers,
         history,
-        digestIntervalMs: opts.digestIntervalMs ?? defaults.digestMs,
-        onMerge: (from, offer) => handleMergeResult(from.instance, offer),
+        digestIntervalMs: opts.digestIntervalMs ?? defaults.digestIntervalMs,
+        onMerge: (from, mergeResult) => handleMergeResult(from.instance, mergeResult),
         onReport: () => reportListeners.forEach((listener) => listener()),
     });
 
@@ -67,16 +67,18 @@
     });
 
     /** Reports each refused value once. Notifies listeners and peers if the revision has increased. */
-    function handleMergeResult(source: string, offer: MergeResult): void {
-        if (offer.kind === "diverged" || offer.kind === "refused") {
-            const detail = offer.kind === "diverged" ? "contradicts the history of this entry" : offer.detail;
-            reportOnce(`revision ${offer.revision} from ${source}: ${detail}`);
+    function handleMergeResult(source: string, mergeResult: MergeResult): void {
+        if (mergeResult.kind === "diverged" || mergeResult.kind === "refused") {
+            const detail = mergeResult.kind === "diverged"
+                ? "contradicts the history of this entry"
+                : mergeResult.detail;
+            reportOnce(`revision ${mergeResult.revision} from ${source}: ${detail}`);
         }
         const state = history.applied()?.state;
         if (state !== undefined && state.revision > notifiedRevision) {
             notifiedRevision = state.revision;
             listeners.forEach((listener) => listener(state));
-            relay?.announce();
+            peerSync?.announce();
         }
     }
 
@@ -90,17 +92,17 @@
 
     /** Merges a log into the history; first reads the log's snapshot if this entry is behind its base. */
     async function mergeStoredLog(log: LogValue): Promise<MergeResult> {
-        let offer = history.mergeRecords(log);
-        if (offer.kind === "behind" && log.snapshot !== undefined) {
+        let mergeResult = history.mergeRecords(log);
+        if (mergeResult.kind === "behind" && log.snapshot !== undefined) {
             const snapshot = await readSnapshot(platform, log.snapshot);
             const isNamed = snapshot?.state.revision === log.baseRevision && snapshot.hash === log.baseHash;
             if (snapshot !== undefined && isNamed) {
                 const merged = history.mergeSnapshot(snapshot);
-                offer = merged.kind === "diverged" ? merged : history.mergeRecords(log);
+                mergeResult = merged.kind === "diverged" ? merged : history.mergeRecords(log);
             }
         }
-        handleMergeResult("the platform", offer);
-        return offer;
+        handleMergeResult("the platform", mergeResult);
+        return mergeResult;
     }
 
     function handleStoredLog(stored: StoredValue): void {
@@ -122,8 +124,8 @@
         isCatchingUp = true;
         while (newestLog !== undefined && !isStopped) {
             const log = newestLog;
-            const offer = await mergeStoredLog(log);
-            if (offer.kind === "behind") {
+            const mergeResult = await mergeStoredLog(log);
+            if (mergeResult.kind === "behind") {
                 await pause(snapshotRetryMs);
             }
             else if (newestLog === log) {
@@ -134,7 +136,7 @@
     }
 
     function lastHeardAtMs(): number {
-        const fromPeers = [...relay?.lastReports().values() ?? []].map(({ atMs }) => atMs);
+        const fromPeers = [...peerSync?.lastReports().values() ?? []].map(({ atMs }) => atMs);
         return Math.max(startedAtMs, watcher.lastAnswerAtMs() ?? 0, ...fromPeers);
     }
 
@@ -154,7 +156,7 @@
             ownRevision: history.applied() === undefined ? -1 : history.revision(),
             recorded: members === undefined ? [] : members.recorded(),
             connected: peers?.connected() ?? [],
-            lastReports: relay?.lastReports() ?? new Map(),
+            lastReports: peerSync?.lastReports() ?? new Map(),
         });
     }
 
@@ -178,7 +180,7 @@
                 if (result.everywhere || leftMs <= 0) {
                     return result;
                 }
-                result.missing.forEach(({ boot }) => void relay?.query(boot, queryIntervalMs));
+                result.missing.forEach(({ boot }) => void peerSync?.query(boot, queryIntervalMs));
                 await waitForReport(Math.min(leftMs, queryIntervalMs));
             }
         },
@@ -188,17 +190,17 @@
             if (read.isLeft() || log === undefined) {
                 return false;
             }
-            const offer = await mergeStoredLog(log);
-            return offer.kind === "advanced" || offer.kind === "nothingNew";
+            const mergeResult = await mergeStoredLog(log);
+            return mergeResult.kind === "advanced" || mergeResult.kind === "nothingNew";
         },
         isolation: () => ({ isIsolated, lastHeardAtMs: lastHeardAtMs() }),
         start() {
-            relay?.start();
+            peerSync?.start();
             timer = setInterval(checkIsolation, 1000);
         },
         stop() {
             isStopped = true;
-            relay?.stop();
+            peerSync?.stop();
             clearInterval(timer);
         },
     };
--- a/src/configuration/createHistory.ts
+++ b/src/configuration/createHistory.ts
@@ -99,8 +99,8 @@
     function adoptSnapshot(snapshot: AppliedState): MergeResult {
         const toRevision = snapshot.state.revision;
         if (applied !== undefined && toRevision <= revision()) {
-            const ownHash = hashAt(toRevision);
-            return ownHash === undefined || ownHash === snapshot.hash
+            const knownHash = hashAt(toRevision);
+            return knownHash === undefined || knownHash === snapshot.hash
                 ? { kind: "nothingNew" }
                 : { kind: "diverged", revision: toRevision };
         }
--- a/src/configuration/snapshot.ts
+++ b/src/configuration/snapshot.ts
@@ -59,10 +59,10 @@
 }
 
 /** Reads a snapshot; returns `undefined` if the platform does not respond or the snapshot is missing or malformed. */
-export async function readSnapshot(platform: Platform, name: SnapshotRef): Promise<AppliedState | undefined> {
+export async function readSnapshot(platform: Platform, ref: SnapshotRef): Promise<AppliedState | undefined> {
     let text = "";
-    for (let part = 0; part < name.parts; part++) {
-        const stored = (await platform.read(`${name.key}/${part}`)).orDefault(undefined);
+    for (let part = 0; part < ref.parts; part++) {
+        const stored = (await platform.read(`${ref.key}/${part}`)).orDefault(undefined);
         if (stored === undefined) {
             return undefined;
         }
@@ -72,8 +72,8 @@
 }
 
 /** Removes a snapshot that the log no longer refers to. Parts that remain after a failure only take up space. */
-export async function removeSnapshot(platform: Platform, name: SnapshotRef): Promise<void> {
-    for (let part = 0; part < name.parts; part++) {
-        await platform.remove(`${name.key}/${part}`);
+export async function removeSnapshot(platform: Platform, ref: SnapshotRef): Promise<void> {
+    for (let part = 0; part < ref.parts; part++) {
+        await platform.remove(`${ref.key}/${part}`);
     }
 }
