--- a/src/dispatch/checkAdmission.ts
+++ b/src/dispatch/checkAdmission.ts
@@ -32,14 +32,14 @@
         return { code: "NEVER_FITS", detail: describeLargest(pool) };
     }
     if (limits.isNeverPossible(task.team, task.size)) {
-        return { code: "NEVER_FITS", detail: `the task exceeds the whole limit of team ${task.team}` };
+        return { code: "NEVER_FITS", detail: `team ${task.team}'s whole limit cannot hold one such task` };
     }
     if (signal.aborted) {
-        return { code: "CANCELLED", detail: "canceled before it was queued" };
+        return { code: "CANCELLED", detail: "cancelled before it was queued" };
     }
     const queue = queues.find(task.pool, task.team);
     if (queues.isFull(task.team)) {
-        const detail = `the queue is full; ${queues.count()} tasks wait at this entry`;
+        const detail = `${queues.count()} tasks wait at this entry`;
         return { code: "QUEUE_FULL", detail, retryAfterSeconds: estimateRetryAfterSeconds(queue) };
     }
     const remainingMs = task.deadlineAtMs - Date.now();
@@ -47,7 +47,7 @@
         return { code: "DEADLINE_PASSED", detail: "the deadline had passed on arrival" };
     }
     if (queue !== undefined && !task.urgent && estimateWaitMs(queue) > remainingMs) {
-        const detail = "at the current rate the task would not start before its deadline";
+        const detail = "at the present rate the task would not start before its deadline";
         return { code: "QUEUE_FULL", detail, retryAfterSeconds: estimateRetryAfterSeconds(queue) };
     }
     return undefined;
--- a/src/dispatch/createAdmissionQueue.ts
+++ b/src/dispatch/createAdmissionQueue.ts
@@ -113,7 +113,7 @@
         }
         const retryAfterS = estimateRetryAfterSeconds(queue);
         if (waiting.isLimitReached) {
-            refuse(waiting, "LIMIT_REACHED", "the team's limit had no free capacity in time", retryAfterS);
+            refuse(waiting, "LIMIT_REACHED", "the team's upper limit left no room in time", retryAfterS);
         }
         else {
             refuse(waiting, "DEADLINE_PASSED", "no worker was free in time", retryAfterS);
@@ -122,7 +122,7 @@
 
     function cancel(waiting: WaitingTask): void {
         if (take(waiting)) {
-            refuse(waiting, "CANCELLED", "canceled while it waited");
+            refuse(waiting, "CANCELLED", "cancelled while it waited");
             return;
         }
         opts.onCancelRunning(waiting);
--- a/src/dispatch/createAttemptRunner.ts
+++ b/src/dispatch/createAttemptRunner.ts
@@ -112,7 +112,7 @@
      */
     function checkBeforeSend(waiting: WaitingTask, instance: Instance): NextStep | undefined {
         if (waiting.signal.aborted) {
-            return { kind: "end", end: createWaitingTaskEnd(waiting, "CANCELLED", "canceled before it was sent") };
+            return { kind: "end", end: createWaitingTaskEnd(waiting, "CANCELLED", "cancelled before it was sent") };
         }
         if (Date.now() > waiting.expiresAtMs) {
             const detail = "the deadline passed before the task was sent";
@@ -163,7 +163,7 @@
 
     function requeue(waiting: WaitingTask): void {
         if (waiting.signal.aborted) {
-            admissionQueue.refuse(waiting, "CANCELLED", "canceled between two attempts");
+            admissionQueue.refuse(waiting, "CANCELLED", "cancelled between two tries");
         }
         else {
             admissionQueue.requeue(waiting);
--- a/src/dispatch/createDispatch.ts
+++ b/src/dispatch/createDispatch.ts
@@ -230,7 +230,7 @@
                 instances.every(({ name }) => waiting.excludedInstances.has(name))
             );
         if (isTriedOnAll && admissionQueue.take(waiting)) {
-            admissionQueue.refuse(waiting, "NO_WORKER", "every worker of the pool has refused or failed the task");
+            admissionQueue.refuse(waiting, "NO_WORKER", "every worker of the pool refused it or failed it");
         }
     }
 
--- a/src/dispatch/decideNextStep.ts
+++ b/src/dispatch/decideNextStep.ts
@@ -48,13 +48,13 @@
             return retryOrEnd(attempt, createProblemEnd("TASK_FAILED", result.detail, Outcome.Answered));
         case "notRun":
             return stopping === "cancelled"
-                ? { kind: "end", end: createWaitingTaskEnd(waiting, "CANCELLED", "canceled before it started") }
+                ? { kind: "end", end: createWaitingTaskEnd(waiting, "CANCELLED", "cancelled before it started") }
                 : { kind: "again" };
         case "stopped":
             if (stopping === "cancelled") {
                 return {
                     kind: "end",
-                    end: createProblemEnd("CANCELLED", "canceled after it had started", Outcome.Unknown),
+                    end: createProblemEnd("CANCELLED", "cancelled after it had started", Outcome.Unknown),
                 };
             }
             if (result.reason === "checkpoint" && waiting.task.repeatable) {
--- a/src/forwarding/createForwarding.ts
+++ b/src/forwarding/createForwarding.ts
@@ -72,7 +72,7 @@
             signal: controller.signal,
             beforeSend() {
                 if (targetPeer !== undefined) {
-                    return Promise.resolve(createProblem("CANCELLED", "the task is forwarded to another entry"));
+                    return Promise.resolve(createProblem("CANCELLED", "the task is passed on to another entry"));
                 }
                 isStarted = true;
                 return request.beforeSend();
@@ -155,6 +155,6 @@
 }
 
 function createUnknownEnd(peer: Peer): TaskEnd {
-    const detail = `the task was forwarded to entry ${peer.instance}, which did not answer`;
+    const detail = `the task was passed on to entry ${peer.instance}, which did not answer`;
     return { kind: "problem", problem: createProblem("OUTCOME_UNKNOWN", detail, { outcome: Outcome.Unknown }) };
 }
--- a/src/limits/readDivisions.ts
+++ b/src/limits/readDivisions.ts
@@ -17,7 +17,7 @@
     members: Members,
 ): Promise<Either<PlatformFailure, readonly TeamDivision[]>> {
     if (state === undefined) {
-        return Left({ kind: "unavailable", detail: "no configuration has been loaded yet" });
+        return Left({ kind: "unavailable", detail: "no configuration is known yet" });
     }
     const reads = await Promise.all(
         Array.from({ length: shardCount }, (_, shard) => platform.read(ledgerKey(shard))),
@@ -28,7 +28,7 @@
         return known.length < ledgers.length
             ? Left<PlatformFailure>({
                 kind: "unavailable",
-                detail: "a stored ledger is malformed or of another version",
+                detail: "a ledger is of another version",
             })
             : Right(describeDivisions(known, state, members));
     });
