--- a/src/configuration/snapshot.ts
+++ b/src/configuration/snapshot.ts
@@ -52,7 +52,7 @@
     return { key, parts };
 }
 
-/** After a conflict or a lost response: whether the key hasText this text, whoever wrote it. */
+/** After a conflict or a lost response: whether the key has this text, whoever wrote it. */
 async function hasText(platform: Platform, key: string, text: string): Promise<boolean> {
     const read = await platform.read(key);
     return read.orDefault(undefined)?.text === text;
