--- a/src/limits/allocateByDominantShare.ts
+++ b/src/limits/allocateByDominantShare.ts
@@ -66,9 +66,9 @@
     return product;
 }
 
-function findLeastAllocated(fillings: readonly Allocation[], limit: Units): Allocation | undefined {
+function findLeastAllocated(allocations: readonly Allocation[], limit: Units): Allocation | undefined {
     let least: { allocation: Allocation; share: number; } | undefined;
-    for (const allocation of fillings) {
+    for (const allocation of allocations) {
         if (!allocation.isDone) {
             const share = dominantShareOf(addUnits(allocation.demand.held, allocation.given), limit);
             if (least === undefined || share < least.share) {
--- a/src/machines/chooseMaintenance.ts
+++ b/src/machines/chooseMaintenance.ts
@@ -44,8 +44,8 @@
  * with the fewest runs. Machines that are needed are chosen only if the wave can't wait any longer.
  *
  * A machine that is being emptied stays chosen. From then on its pool lacks its capacity, so it would count as needed and
- * go back to its pool with some of its tasks stopped. Its tasks were then stopped and started again there four times in
- * six seconds, and its maintenance began after the wave was due.
+ * go back to its pool with half of its tasks stopped. Its tasks would be stopped and started there again and again, such as
+ * four times in six seconds, and its maintenance would begin after the wave is due.
  */
 export function chooseMaintenance(opts: MaintenanceOptions): MaintenanceChoice {
     const { wave, machines, begun, removed, down } = opts;
